--- a/gaugehollow-bench/src/main/java/org/gaugehollow/bench/EngineBenchmark.java
+++ b/gaugehollow-bench/src/main/java/org/gaugehollow/bench/EngineBenchmark.java
@@ -12,13 +12,13 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.PolicySpec;
 import org.gaugehollow.model.TaskClass;
 import org.gaugehollow.placement.EngineLimits;
 import org.gaugehollow.placement.Placement;
 import org.gaugehollow.placement.PlacementEngine;
-import org.gaugehollow.placement.PolicyBook;
+import org.gaugehollow.placement.PolicyAssignments;
 import org.gaugehollow.placement.PolicyRegistry;
 import org.gaugehollow.placement.TaskDemand;
 import org.openjdk.jmh.annotations.Benchmark;
@@ -48,8 +48,8 @@
 {
     private static final int SLOTS = 8;
     private static final double FULL = 0.8;
-    private static final Amounts PLAIN = new Amounts(SLOTS, 16_000, 32_768, 0);
-    private static final Amounts ACCELERATED = new Amounts(SLOTS, 32_000, 65_536, 1);
+    private static final ComputeResources PLAIN = new ComputeResources(SLOTS, 16_000, 32_768, 0);
+    private static final ComputeResources ACCELERATED = new ComputeResources(SLOTS, 32_000, 65_536, 1);
 
     @Param({"30", "120", "400", "1200"})
     private int workers;
@@ -66,13 +66,13 @@
     @Setup(Level.Trial)
     public void fill()
     {
-        PolicyBook.Named named = new PolicyBook.Named(policy,
+        PolicyAssignments.Named named = new PolicyAssignments.Named(policy,
                 new PolicyRegistry().create(new PolicySpec(policy, null, null)));
-        engine = new PlacementEngine(EngineLimits.defaults(), new PolicyBook(Map.of(), Map.of(), named),
-                System::nanoTime);
+        engine = new PlacementEngine(EngineLimits.defaults(),
+                new PolicyAssignments(Map.of(), Map.of(), named), System::nanoTime);
         for (int i = 0; i < workers; i++)
         {
-            engine.putWorker("worker-" + i, 1, i % 2 == 0 ? PLAIN : ACCELERATED, Amounts.NONE, true);
+            engine.putWorker("worker-" + i, 1, i % 2 == 0 ? PLAIN : ACCELERATED, ComputeResources.NONE, true);
         }
         while (running.size() < workers * SLOTS * FULL)
         {
@@ -100,16 +100,17 @@
 
     private TaskDemand nextDemand()
     {
-        Amounts needs = new Amounts(1, 250 * random.nextInt(1, 8), 256 * random.nextInt(1, 12), 0);
+        ComputeResources needs = new ComputeResources(1, 250 * random.nextInt(1, 8),
+                256 * random.nextInt(1, 12), 0);
         return demand(needs);
     }
 
     private TaskDemand smallDemand()
     {
-        return demand(new Amounts(1, 0, 0, 0));
+        return demand(new ComputeResources(1, 0, 0, 0));
     }
 
-    private TaskDemand demand(Amounts needs)
+    private TaskDemand demand(ComputeResources needs)
     {
         task++;
         return new TaskDemand("task-" + task, TaskClass.BOOKING, "team", 1, 0, needs, Long.MAX_VALUE);
--- a/gaugehollow-bench/src/main/java/org/gaugehollow/bench/PackingExperiment.java
+++ b/gaugehollow-bench/src/main/java/org/gaugehollow/bench/PackingExperiment.java
@@ -11,7 +11,7 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.PolicySpec;
 import org.gaugehollow.placement.PlacementPolicy;
 import org.gaugehollow.placement.PolicyRegistry;
@@ -26,9 +26,9 @@
 {
     private static final int SEEDS = 31;
     private static final int WORKERS = 30;
-    private static final Amounts PLAIN = new Amounts(64, 32_000, 65_536, 0);
-    private static final Amounts ACCELERATED = new Amounts(64, 32_000, 65_536, 2);
-    private static final Amounts SMALLEST_ACCELERATED = new Amounts(1, 2_000, 4_096, 1);
+    private static final ComputeResources PLAIN = new ComputeResources(64, 32_000, 65_536, 0);
+    private static final ComputeResources ACCELERATED = new ComputeResources(64, 32_000, 65_536, 2);
+    private static final ComputeResources SMALLEST_ACCELERATED = new ComputeResources(1, 2_000, 4_096, 1);
     private static final String[] POLICIES = {"random", "round-robin", "first-fit", "least-connections",
             "waiting-first", "packing-first"};
 
@@ -77,17 +77,17 @@
         PlacementPolicy policy = new PolicyRegistry().create(new PolicySpec(type, null, null));
         UniformRandomProvider random = RandomSource.XO_SHI_RO_128_PP.create(seed);
         WorkerIndex index = new WorkerIndex();
-        Amounts capacity = Amounts.NONE;
+        ComputeResources capacity = ComputeResources.NONE;
         for (int i = 0; i < WORKERS; i++)
         {
-            Amounts worker = i % 3 == 0 ? ACCELERATED : PLAIN;
+            ComputeResources worker = i % 3 == 0 ? ACCELERATED : PLAIN;
             index.put(String.format("w%02d", i), worker, worker);
             capacity = capacity.plus(worker);
         }
         int placed = 0;
         while (true)
         {
-            Amounts demand = demand(random);
+            ComputeResources demand = demand(random);
             Optional<String> chosen = policy.choose(index, demand);
             if (chosen.isEmpty())
             {
@@ -103,33 +103,35 @@
      * Small calls, rebuilds that need memory, calculations that need processors, and a few that need
      * accelerators.
      */
-    private static Amounts demand(UniformRandomProvider random)
+    private static ComputeResources demand(UniformRandomProvider random)
     {
         int kind = random.nextInt(100);
         if (kind < 50)
         {
-            return new Amounts(1, random.nextInt(250, 1_000), random.nextInt(256, 2_048), 0);
+            return new ComputeResources(1, random.nextInt(250, 1_000), random.nextInt(256, 2_048), 0);
         }
         if (kind < 72)
         {
-            return new Amounts(1, random.nextInt(500, 2_000), random.nextInt(4_096, 12_288), 0);
+            return new ComputeResources(1, random.nextInt(500, 2_000), random.nextInt(4_096, 12_288), 0);
         }
         if (kind < 97)
         {
-            return new Amounts(1, random.nextInt(2_000, 6_000), random.nextInt(1_024, 4_096), 0);
+            return new ComputeResources(1, random.nextInt(2_000, 6_000), random.nextInt(1_024, 4_096), 0);
         }
-        return new Amounts(1, random.nextInt(2_000, 6_000), random.nextInt(4_096, 12_288), 1);
+        return new ComputeResources(1, random.nextInt(2_000, 6_000), random.nextInt(4_096, 12_288), 1);
     }
 
-    private static Fill result(WorkerIndex index, Amounts capacity, int placed)
+    private static Fill result(WorkerIndex index, ComputeResources capacity, int placed)
     {
-        Amounts free = Amounts.NONE;
+        ComputeResources free = ComputeResources.NONE;
         int stranded = 0;
         for (WorkerIndex.State state : index.workers().values())
         {
             free = free.plus(state.free());
-            boolean usable = state.free().minusAtMost(new Amounts(0, 0, 0, state.free().accelerators())).fits(
-                    new Amounts(1, SMALLEST_ACCELERATED.cpuMillis(), SMALLEST_ACCELERATED.memoryMib(), 0));
+            boolean usable = state.free()
+                    .minusClamped(new ComputeResources(0, 0, 0, state.free().accelerators()))
+                    .fits(new ComputeResources(1, SMALLEST_ACCELERATED.cpuMillis(),
+                            SMALLEST_ACCELERATED.memoryMib(), 0));
             stranded += usable ? 0 : state.free().accelerators();
         }
         return new Fill(share(capacity.cpuMillis(), free.cpuMillis()),
--- a/gaugehollow-bench/src/main/java/org/gaugehollow/bench/RecordMemory.java
+++ b/gaugehollow-bench/src/main/java/org/gaugehollow/bench/RecordMemory.java
@@ -7,18 +7,18 @@
 import java.util.Arrays;
 import java.util.Optional;
 
-import org.gaugehollow.config.ConfigKeeper;
+import org.gaugehollow.config.ConfigCache;
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.HybridClock;
 import org.gaugehollow.event.Metrics;
-import org.gaugehollow.keys.KeyCopier;
 import org.gaugehollow.keys.KeyLimits;
 import org.gaugehollow.keys.KeyOwnership;
+import org.gaugehollow.keys.KeyReplicator;
 import org.gaugehollow.keys.KeyTable;
 import org.gaugehollow.keys.ReplicaTable;
+import org.gaugehollow.membership.AssignmentMaps;
 import org.gaugehollow.membership.BoxIdentity;
-import org.gaugehollow.membership.HallView;
-import org.gaugehollow.model.HallMap;
+import org.gaugehollow.model.AssignmentMap;
 import org.gaugehollow.net.NetLoops;
 import org.gaugehollow.peer.PeerDirectory;
 import org.gaugehollow.peer.generated.PeerProtocol.Answer;
@@ -54,14 +54,14 @@
             long before = usedHeap();
             for (int i = 0; i < RECORDS; i++)
             {
-                KeyTable.Ask ask = table.ask("team-bole", "round-" + round + "-key-" + i, "goal",
-                        System.currentTimeMillis(), "bole-1~4f2a9c-" + i);
-                table.ended(ask.entry(),
+                KeyTable.Registration ask = table.register("team-bole", "round-" + round + "-key-" + i,
+                        "goal", System.currentTimeMillis(), "bole-1~4f2a9c-" + i);
+                table.recordAnswer(ask.entry(),
                         Answer.newBuilder().setStatus(200).setTask(ask.entry().task()).setBox("bole-1~4f2a9c")
                                 .setUpstream("bole-w1").setContentType("application/json")
                                 .setBody(ByteString.copyFrom(new byte[ANSWER_BYTES])).build());
             }
-            bytes[round] = (usedHeap() - before) / table.records();
+            bytes[round] = (usedHeap() - before) / table.recordCount();
         }
         Arrays.sort(bytes);
         System.out.printf(
@@ -74,11 +74,11 @@
         BoxIdentity self = new BoxIdentity("bole-1", "bole-1~4f2a9c", "bole", "127.0.0.1:1");
         EventLog events = new EventLog(self.id(), new HybridClock(System::currentTimeMillis));
         KeyTable table = new KeyTable(new KeyLimits(600_000, 2_000, 2 * RECORDS), System::currentTimeMillis);
-        HallView halls = new HallView(self.hall(), new ConfigKeeper(), events);
+        AssignmentMaps halls = new AssignmentMaps(self.hall(), new ConfigCache(), events);
         PeerDirectory nobody = new PeerDirectory(new NetLoops(Optional.empty()), events, new Metrics());
-        KeyCopier copier = new KeyCopier(self, halls, nobody, table);
+        KeyReplicator copier = new KeyReplicator(self, halls, nobody, table);
         new KeyOwnership(self.id(), table, new ReplicaTable(self.id()), copier, System::currentTimeMillis,
-                events).follow(HallMap.first(self.asMapBox()));
+                events).applyMap(AssignmentMap.initial(self.toMember()));
         return table;
     }
 
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LocalCell.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LocalCell.java
@@ -10,7 +10,7 @@
 import java.util.Optional;
 
 import org.gaugehollow.entry.EntryBox;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.Json;
 import org.gaugehollow.net.HttpCaller;
 import org.gaugehollow.net.NetAddress;
@@ -35,7 +35,7 @@
     private static final int PEER_OFFSET = 2;
     private static final int PLATFORM_OFFSET = -1;
     private static final int TIMEOUT_MILLIS = 2_000;
-    private static final Amounts WORKER = new Amounts(8, 16_000, 32_768, 1);
+    private static final ComputeResources WORKER = new ComputeResources(8, 16_000, 32_768, 1);
 
     private final NetLoops loops = new NetLoops(Optional.empty());
     private final List<WorkerStandin> workers = new ArrayList<>();
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/WatchCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/WatchCommand.java
@@ -61,11 +61,11 @@
                 HttpConnection connection = caller.openOwn(CONNECT_MILLIS))
         {
             HttpReply head = connection.openStream(request, nextDeadline());
-            byte[] piece = connection.nextPiece(nextDeadline(), false);
+            byte[] piece = connection.readChunk(nextDeadline(), false);
             while (piece != null)
             {
                 console.line(new String(piece, StandardCharsets.UTF_8).stripTrailing());
-                piece = connection.nextPiece(nextDeadline(), false);
+                piece = connection.readChunk(nextDeadline(), false);
             }
             return head.status() == OK ? ExitCode.OK : ExitCode.REFUSED;
         }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/WorkerStandinCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/WorkerStandinCommand.java
@@ -8,7 +8,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.Json;
 import org.gaugehollow.net.HttpCaller;
@@ -86,7 +86,7 @@
     {
         NetLoops loops = new NetLoops(Optional.empty());
         WorkerStandinOptions options = new WorkerStandinOptions(id, hall, rack,
-                new Amounts(slots, cpuMillis, memoryMib, accelerators), !noFencing);
+                new ComputeResources(slots, cpuMillis, memoryMib, accelerators), !noFencing);
         WorkerStandin worker = new WorkerStandin(loops, NetAddress.parse(listen), options);
         String advertised = advertise == null ? NetAddress.format(worker.address()) : advertise;
         HttpCaller caller = new HttpCaller(loops, NetAddress.parse(platform));
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/ConfigurationTest.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/ConfigurationTest.java
@@ -155,7 +155,7 @@
                     new DefaultHttpHeaders(), new byte[0]), SteadyClock.nanos() + 5_000_000_000L);
             TestCell.await("all changes were seen", () ->
             {
-                partial.append(new String(stream.nextPiece(SteadyClock.nanos() + 1_000_000_000L, true),
+                partial.append(new String(stream.readChunk(SteadyClock.nanos() + 1_000_000_000L, true),
                         StandardCharsets.UTF_8));
                 readLines(partial, seen);
                 return seen.size() >= made.size();
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/TestHops.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/TestHops.java
@@ -13,12 +13,12 @@
 import java.util.Set;
 
 import org.gaugehollow.net.NetAddress;
-import org.gaugehollow.standin.SwitchableHop;
+import org.gaugehollow.standin.FaultProxy;
 
 /** The hops of a test's cell, by name, and which source addresses each of them refuses. */
 final class TestHops implements AutoCloseable
 {
-    private final Map<String, SwitchableHop> hops = new HashMap<>();
+    private final Map<String, FaultProxy> hops = new HashMap<>();
     private final Map<String, Set<String>> cuts = new HashMap<>();
 
     /** Puts a hop in front of an address and returns the address to use instead. */
@@ -26,9 +26,8 @@
     {
         try
         {
-            SwitchableHop hop = new SwitchableHop(new InetSocketAddress("127.0.0.1", 0),
-                    NetAddress.parse(target));
-            SwitchableHop old = hops.put(name, hop);
+            FaultProxy hop = new FaultProxy(new InetSocketAddress("127.0.0.1", 0), NetAddress.parse(target));
+            FaultProxy old = hops.put(name, hop);
             if (old != null)
             {
                 old.close();
@@ -66,7 +65,7 @@
         closeQuietly(hops.get(name));
     }
 
-    private static void closeQuietly(SwitchableHop hop)
+    private static void closeQuietly(FaultProxy hop)
     {
         try
         {
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/HopMode.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/FaultMode.java
@@ -5,7 +5,7 @@
 package org.gaugehollow.standin;
 
 /** What a hop does to what passes it. */
-public enum HopMode
+public enum FaultMode
 {
     /** Everything passes. */
     PASS,
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/SwitchableHop.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/FaultProxy.java
@@ -19,7 +19,7 @@
  * A hop in front of one listener, for tests of cuts: it passes bytes on as its mode says, and
  * refuses or ends connections from the source addresses that are cut off.
  */
-public final class SwitchableHop implements AutoCloseable
+public final class FaultProxy implements AutoCloseable
 {
     private static final int BUFFER = 16 << 10;
     private static final int STEP_MILLIS = 5;
@@ -29,7 +29,7 @@
     private final InetSocketAddress target;
     private final Map<Socket, Socket> pairs = new ConcurrentHashMap<>();
     private volatile Predicate<InetAddress> cut = source -> false;
-    private volatile HopMode mode = HopMode.PASS;
+    private volatile FaultMode mode = FaultMode.PASS;
 
     /**
      * Starts to listen.
@@ -38,7 +38,7 @@
      * @param target where bytes are passed on to
      * @throws IOException if the address is taken
      */
-    public SwitchableHop(InetSocketAddress listen, InetSocketAddress target) throws IOException
+    public FaultProxy(InetSocketAddress listen, InetSocketAddress target) throws IOException
     {
         this.target = target;
         this.listener = new ServerSocket();
@@ -71,10 +71,10 @@
     /**
      * @param next what the hop does from now on
      */
-    public void mode(HopMode next)
+    public void mode(FaultMode next)
     {
         mode = next;
-        if (next == HopMode.RESET)
+        if (next == FaultMode.RESET)
         {
             pairs.forEach(this::closeBoth);
         }
@@ -87,7 +87,7 @@
             try
             {
                 Socket from = listener.accept();
-                if (cut.test(from.getInetAddress()) || mode == HopMode.RESET)
+                if (cut.test(from.getInetAddress()) || mode == FaultMode.RESET)
                 {
                     from.close();
                 }
@@ -154,7 +154,7 @@
 
     private void hold(boolean back) throws InterruptedException
     {
-        if (mode == HopMode.LATE)
+        if (mode == FaultMode.LATE)
         {
             Thread.sleep(LATE_MILLIS);
         }
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/PlatformStandin.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/PlatformStandin.java
@@ -153,7 +153,7 @@
         String path = exchange.request().path();
         calls.computeIfAbsent(path, p -> new AtomicInteger()).incrementAndGet();
         boolean write = path.startsWith("/v3/kv/txn") || path.startsWith("/v3/lease");
-        (write ? writes : reads).take();
+        (write ? writes : reads).acquire();
         if ("/v1/workers".equals(path))
         {
             exchange.respond(HttpReply.json(OK, roster.groups()));
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/RunningTasks.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/RunningTasks.java
@@ -10,13 +10,13 @@
 import java.util.Map;
 import java.util.Optional;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.upstream.UpstreamTask;
 
 /** The tasks of one worker's stand-in: what runs, what ran, and under which claims. Thread-safe. */
 final class RunningTasks
 {
-    private final Amounts capacity;
+    private final ComputeResources capacity;
     private final boolean fencing;
     private final Map<Long, UpstreamTask> running = new LinkedHashMap<>();
     private final Map<Long, StartRecord> starts = new LinkedHashMap<>();
@@ -25,7 +25,7 @@
     private int refused;
     private int overloads;
 
-    RunningTasks(Amounts capacity, boolean fencing)
+    RunningTasks(ComputeResources capacity, boolean fencing)
     {
         this.capacity = capacity;
         this.fencing = fencing;
@@ -83,9 +83,9 @@
         return new WorkerRecords(worker, new ArrayList<>(starts.values()), refused, overloads);
     }
 
-    private Amounts used()
+    private ComputeResources used()
     {
-        Amounts sum = Amounts.NONE;
+        ComputeResources sum = ComputeResources.NONE;
         for (UpstreamTask task : running.values())
         {
             sum = sum.plus(task.needs());
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/WorkerStandin.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/WorkerStandin.java
@@ -13,7 +13,7 @@
 
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.HybridClock;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
@@ -77,7 +77,7 @@
      */
     public RosterLine rosterLine(String advertised, String state, boolean gone)
     {
-        Amounts capacity = options.capacity();
+        ComputeResources capacity = options.capacity();
         Map<String, String> labels = new HashMap<>();
         labels.put("worker", options.id());
         labels.put("hall", options.hall());
@@ -194,7 +194,7 @@
         }
         else if (behaviour.does("cut"))
         {
-            exchange.respondPartly(reply);
+            exchange.respondTruncated(reply);
         }
         else
         {
@@ -219,7 +219,7 @@
         return request.header(UpstreamHeaders.EPOCH).map(Long::parseLong).orElse(0L);
     }
 
-    private static Amounts needsOf(HttpMessage request)
+    private static ComputeResources needsOf(HttpMessage request)
     {
         Map<String, Integer> parts = new HashMap<>();
         for (String part : request.header(UpstreamHeaders.NEEDS).orElse("slots=1").split(";"))
@@ -227,7 +227,7 @@
             int equals = part.indexOf('=');
             parts.put(part.substring(0, equals), Integer.parseInt(part.substring(equals + 1)));
         }
-        return new Amounts(parts.getOrDefault("slots", 1), parts.getOrDefault("cpuMillis", 0),
+        return new ComputeResources(parts.getOrDefault("slots", 1), parts.getOrDefault("cpuMillis", 0),
                 parts.getOrDefault("memoryMib", 0), parts.getOrDefault("accelerators", 0));
     }
 
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/WorkerStandinOptions.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/WorkerStandinOptions.java
@@ -4,7 +4,7 @@
  */
 package org.gaugehollow.standin;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /**
  * What a worker's stand-in is.
@@ -15,6 +15,7 @@
  * @param capacity what it holds
  * @param fencing whether it refuses starts of older owners
  */
-public record WorkerStandinOptions(String id, String hall, String rack, Amounts capacity, boolean fencing)
+public record WorkerStandinOptions(String id, String hall, String rack, ComputeResources capacity,
+        boolean fencing)
 {
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/BoxRegistry.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/BoxRegistry.java
@@ -23,7 +23,7 @@
 import org.gaugehollow.platform.KeyFollower;
 import org.gaugehollow.platform.PlatformStore;
 import org.gaugehollow.platform.StoreTransaction;
-import org.gaugehollow.schedule.AdviceLines;
+import org.gaugehollow.schedule.AdviceDispatcher;
 import org.gaugehollow.schedule.OwnerElection;
 import org.gaugehollow.supervise.SupervisedTask;
 import org.gaugehollow.time.SteadyClock;
@@ -43,7 +43,7 @@
     private final Entry self;
     private final PlatformStore store;
     private final PeerDirectory directory;
-    private final AdviceLines lines;
+    private final AdviceDispatcher lines;
     private final EventLog events;
     private final Map<String, Registration> registrations = new ConcurrentHashMap<>();
     private volatile long ownRevision = NOT_REGISTERED;
@@ -69,7 +69,7 @@
         }
     }
 
-    BoxRegistry(String box, Entry self, PlatformStore store, PeerDirectory directory, AdviceLines lines,
+    BoxRegistry(String box, Entry self, PlatformStore store, PeerDirectory directory, AdviceDispatcher lines,
             EventLog events)
     {
         this.box = box;
@@ -108,7 +108,7 @@
     }
 
     @Override
-    public void put(String key, byte[] value, long revision)
+    public void onPut(String key, byte[] value, long revision)
     {
         String peer = key.substring(JobKeys.BOXES.length());
         try
@@ -178,7 +178,7 @@
     }
 
     @Override
-    public void removed(String key, long revision)
+    public void onRemoved(String key, long revision)
     {
         String peer = key.substring(JobKeys.BOXES.length());
         drop(peer, "no longer registered at revision " + revision);
@@ -209,7 +209,7 @@
      * @param except a box that does not count
      */
     @Override
-    public boolean isElder(String except)
+    public boolean isLongerRunning(String except)
     {
         return isAnySettled(except, known -> known.revision() > ownRevision
                 && known.entry().processorMillis() * CLEARLY_MORE >= self.processorMillis());
@@ -251,7 +251,7 @@
     }
 
     @Override
-    public void listed(long revision)
+    public void onListed(long revision)
     {
         // a box that is known already stays known
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/CellConfigKeeper.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/CellConfigCache.java
@@ -14,13 +14,13 @@
 import org.gaugehollow.schedule.CellPlatform;
 
 /** Holds the newest configuration of the cell; it is only ever replaced by a newer one. */
-final class CellConfigKeeper implements KeyFollower.Listener, Supplier<CellConfig>
+final class CellConfigCache implements KeyFollower.Listener, Supplier<CellConfig>
 {
     private final CellPlatform platform;
     private final EventLog events;
     private volatile CellConfig current = CellConfig.NONE;
 
-    CellConfigKeeper(CellPlatform platform, EventLog events)
+    CellConfigCache(CellPlatform platform, EventLog events)
     {
         this.platform = platform;
         this.events = events;
@@ -33,7 +33,7 @@
     }
 
     @Override
-    public synchronized void put(String key, byte[] value, long revision)
+    public synchronized void onPut(String key, byte[] value, long revision)
     {
         if (!key.equals(platform.configKey()))
         {
@@ -56,14 +56,14 @@
     }
 
     @Override
-    public void removed(String key, long revision)
+    public void onRemoved(String key, long revision)
     {
         events.record(EventType.CONFIG_BAD_ENTRY, key,
                 "gone at revision " + revision + "; the last one stays");
     }
 
     @Override
-    public void listed(long revision)
+    public void onListed(long revision)
     {
         // the configuration is one key; there is nothing to compare
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/ConfigProbe.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/ConfigProbe.java
@@ -44,7 +44,7 @@
     @Override
     public boolean getAsBoolean()
     {
-        return store.isSilent() || store.silences() > readSilence();
+        return store.isUnresponsive() || store.outageCount() > readSilence();
     }
 
     @Override
@@ -63,10 +63,10 @@
     /** Reads the configuration once. */
     void read()
     {
-        long silence = store.silences();
+        long silence = store.outageCount();
         try
         {
-            store.get(key).ifPresent(value -> config.put(key, value.value(), value.modRevision()));
+            store.get(key).ifPresent(value -> config.onPut(key, value.value(), value.modRevision()));
             noteRead(silence);
         }
         catch (GaugehollowException e)
--- a/gaugehollow/src/main/java/org/gaugehollow/box/JobBox.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/JobBox.java
@@ -32,11 +32,11 @@
 import org.gaugehollow.placement.WorkerScore;
 import org.gaugehollow.platform.KeyFollower;
 import org.gaugehollow.platform.MonitoredStore;
-import org.gaugehollow.schedule.AdviceLines;
+import org.gaugehollow.schedule.AdviceDispatcher;
 import org.gaugehollow.schedule.CellPlatform;
 import org.gaugehollow.schedule.OwnerElection;
-import org.gaugehollow.schedule.OwnerRehearsal;
 import org.gaugehollow.schedule.OwnerMonitor;
+import org.gaugehollow.schedule.OwnerWarmup;
 import org.gaugehollow.supervise.Supervisor;
 import org.gaugehollow.time.SteadyClock;
 
@@ -65,7 +65,7 @@
     private final CellPlatform platform;
     private final MonitoredStore store;
     private final Supervisor root;
-    private final CellConfigKeeper config;
+    private final CellConfigCache config;
     private final ConfigProbe configProbe;
     private final BoxRegistry registry;
     private final OwnerMonitor monitor;
@@ -118,14 +118,14 @@
         this.store = new MonitoredStore(opened.store(), events, SteadyClock::nanos);
         this.platform = new MonitoredPlatform(opened, store);
         this.root = new Supervisor(id, events);
-        this.config = new CellConfigKeeper(platform, events);
+        this.config = new CellConfigCache(platform, events);
         this.configProbe = new ConfigProbe(store, platform.configKey(), config);
         this.directory = new PeerDirectory(loops, events, metrics);
-        AdviceLines lines = new AdviceLines(platform.advice(), events);
+        AdviceDispatcher lines = new AdviceDispatcher(platform.advice(), events);
         this.registry = new BoxRegistry(id,
                 new BoxRegistry.Entry(settings.peerAddress(), settings.processorMillis()), store, directory,
                 lines, events);
-        this.monitor = new OwnerMonitor(new PeerOwnerProbe(registry), store::isSteady, registry::isOutranked,
+        this.monitor = new OwnerMonitor(new PeerOwnerProbe(registry), store::isStable, registry::isOutranked,
                 SteadyClock::nanos);
         this.election = new OwnerElection(id, platform, config, monitor, registry, lines, SCORE,
                 root.child("owner"), settings.statusSeconds(), events);
@@ -179,7 +179,7 @@
         root.start("config-probe", configProbe);
         root.start("peers", new KeyFollower(store, JobKeys.BOXES, registry, events));
         root.start("election", election);
-        root.start("rehearsal", new OwnerRehearsal(election, registry, SCORE));
+        root.start("rehearsal", new OwnerWarmup(election, registry, SCORE));
     }
 
     private void answerReadiness(HttpExchange exchange) throws InterruptedException
@@ -195,7 +195,7 @@
     /** @return whether callers should be sent here */
     public boolean isReady()
     {
-        return !leaving.get() && config.get().version() > 0 && !store.isSilent();
+        return !leaving.get() && config.get().version() > 0 && !store.isUnresponsive();
     }
 
     /** @return this box's id, new with each start */
--- a/gaugehollow/src/main/java/org/gaugehollow/box/JobIntake.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/JobIntake.java
@@ -46,7 +46,7 @@
     };
 
     private final MonitoredStore store;
-    private final JobNotices notices;
+    private final JobListener notices;
     private final EventLog events;
     private final Metrics metrics;
 
@@ -56,7 +56,7 @@
      * @param events where each decision is recorded
      * @param metrics counts and times the calls
      */
-    public JobIntake(MonitoredStore store, JobNotices notices, EventLog events, Metrics metrics)
+    public JobIntake(MonitoredStore store, JobListener notices, EventLog events, Metrics metrics)
     {
         this.store = store;
         this.notices = notices;
@@ -129,7 +129,7 @@
         {
             refuseAnothersId(scope, id);
         }
-        notices.written(id);
+        notices.onJobWritten(id);
         events.record(EventType.JOB_ACCEPTED, id,
                 scope.queue().name() + of(scope.customer()) + (fresh[0] ? "" : ", known already"));
         return fresh[0];
@@ -157,7 +157,7 @@
      */
     private void refuseWhileSilent(String id)
     {
-        if (store.isSilent())
+        if (store.isUnresponsive())
         {
             events.record(EventType.JOB_REFUSED, id, ResultCode.STORE_UNAVAILABLE + ": the store is silent");
             throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE,
@@ -193,7 +193,7 @@
             {
                 tries.add(e);
                 boolean late = deadlineNanos - SteadyClock.nanos() < ANSWER_MARGIN_NANOS;
-                if (!tries.mayRun() || late || store.isSilent())
+                if (!tries.mayRun() || late || store.isUnresponsive())
                 {
                     GaugehollowException refusal = tries.failure();
                     events.record(EventType.JOB_REFUSED, id, refusal.code() + ": " + refusal.getMessage());
@@ -236,7 +236,7 @@
                 Cancellation.of(scope).write());
         writeUntilKnown(() -> HedgedCall.write(() -> store.commit(write)), id, deadlineNanos);
         events.record(EventType.JOB_CANCELLED, id, scope.queue().name() + of(scope.customer()));
-        notices.cancelled(id);
+        notices.onJobCancelled(id);
         return true;
     }
 
@@ -282,7 +282,7 @@
         StoreListing listing = listRecord(id);
         JobRecord record = find(scope, id, listing);
         boolean cancelled = listing.values().stream().filter(v -> v.key().equals(JobKeys.cancel(id)))
-                .anyMatch(v -> Cancellation.read(v.value()).concerns(record));
+                .anyMatch(v -> Cancellation.read(v.value()).appliesTo(record));
         return cancelled ? JobState.CANCELLED : JobState.QUEUED;
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/box/JobNotices.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/JobListener.java
@@ -8,11 +8,11 @@
  * Is told of what a box has just written about jobs. Each method returns at once, and nothing
  * depends on it: the owner follows the store.
  */
-public interface JobNotices
+public interface JobListener
 {
     /** @param job the id of a job whose record was written */
-    void written(String job);
+    void onJobWritten(String job);
 
     /** @param job the id of a job whose cancellation was written */
-    void cancelled(String job);
+    void onJobCancelled(String job);
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/PeerJobNotice.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/PeerJobNotice.java
@@ -13,7 +13,7 @@
  * Tells the cell's owner of jobs that this box accepted or cancelled. Nothing depends on it: the
  * owner follows the store, and hears of them sooner this way while its watch is held up.
  */
-final class PeerJobNotice implements JobNotices
+final class PeerJobNotice implements JobListener
 {
     private static final int TIMEOUT_MILLIS = 300;
 
@@ -27,22 +27,22 @@
     }
 
     @Override
-    public void written(String job)
+    public void onJobWritten(String job)
     {
         if (election.isOwner())
         {
-            election.noteWritten(job);
+            election.onJobWritten(job);
             return;
         }
         sendInBackground(JobNotice.newBuilder().setJob(job));
     }
 
     @Override
-    public void cancelled(String job)
+    public void onJobCancelled(String job)
     {
         if (election.isOwner())
         {
-            election.noteCancelled(job);
+            election.onJobCancelled(job);
             return;
         }
         sendInBackground(JobNotice.newBuilder().setJob(job).setCancelled(true));
@@ -71,11 +71,11 @@
     {
         if (notice.getCancelled())
         {
-            election.noteCancelled(notice.getJob());
+            election.onJobCancelled(notice.getJob());
         }
         else
         {
-            election.noteWritten(notice.getJob());
+            election.onJobWritten(notice.getJob());
         }
         return Frame.newBuilder().setJobNoticeReply(JobNoticeReply.getDefaultInstance());
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/PeerOwnerProbe.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/PeerOwnerProbe.java
@@ -32,16 +32,16 @@
     }
 
     @Override
-    public Standing ask(String box, String owner, int waitMillis) throws InterruptedException
+    public Result probe(String box, String owner, int waitMillis) throws InterruptedException
     {
         OwnerCall.Builder call = OwnerCall.newBuilder().setOwner(owner).setWaitMillis(waitMillis);
         return registry.call(box, Frame.newBuilder().setOwner(call), waitMillis + SLACK_MILLIS)
-                .map(Frame::getOwnerReply).map(PeerOwnerProbe::standing).orElse(Standing.UNREACHED);
+                .map(Frame::getOwnerReply).map(PeerOwnerProbe::standing).orElse(Result.UNREACHED);
     }
 
-    private static Standing standing(OwnerReply reply)
+    private static Result standing(OwnerReply reply)
     {
-        return new Standing(true, reply.getIsOwner(), reply.getUnconfirmedMillis(), reply.getSilent());
+        return new Result(true, reply.getIsOwner(), reply.getUnconfirmedMillis(), reply.getSilent());
     }
 
     /** Answers a peer's call about the owner. */
@@ -56,6 +56,6 @@
         return Frame.newBuilder()
                 .setOwnerReply(OwnerReply.newBuilder().setIsOwner(owner)
                         .setUnconfirmedMillis(election.unconfirmedMillis())
-                        .setSilent(monitor.isSilent(call.getOwner())));
+                        .setSilent(monitor.isOwnerUnresponsive(call.getOwner())));
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/PeerStoreQuestion.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/PeerStoreQuestion.java
@@ -32,6 +32,6 @@
     /** Answers a peer's question. */
     static Frame.Builder handle(MonitoredStore store)
     {
-        return Frame.newBuilder().setStoreReply(StoreReply.newBuilder().setAnswers(store.isSteady()));
+        return Frame.newBuilder().setStoreReply(StoreReply.newBuilder().setAnswers(store.isStable()));
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/config/ActiveConfig.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/config/ActiveConfig.java
@@ -25,7 +25,7 @@
 import org.gaugehollow.model.TeamSpec;
 import org.gaugehollow.model.WorkloadSpec;
 import org.gaugehollow.placement.PlacementPolicy;
-import org.gaugehollow.placement.PolicyBook;
+import org.gaugehollow.placement.PolicyAssignments;
 import org.gaugehollow.placement.PolicyRegistry;
 
 import com.fasterxml.jackson.core.JsonProcessingException;
@@ -37,7 +37,7 @@
 
     private final Map<String, WorkloadSpec> workloads = new HashMap<>();
     private final Map<String, TeamSpec> teams = new HashMap<>();
-    private final PolicyBook policies;
+    private final PolicyAssignments policies;
 
     /**
      * Reads the entries in force. An entry that cannot be read is reported and left out.
@@ -51,9 +51,9 @@
     {
         List<ConfigEntry> byAge = entries.stream().sorted(Comparator.comparingLong(ConfigEntry::revision))
                 .toList();
-        Map<String, PolicyBook.Named> named = new HashMap<>();
-        Map<TaskClass, PolicyBook.Named> governing = new EnumMap<>(TaskClass.class);
-        Map<TaskClass, PolicyBook.Split> splits = new EnumMap<>(TaskClass.class);
+        Map<String, PolicyAssignments.Named> named = new HashMap<>();
+        Map<TaskClass, PolicyAssignments.Named> governing = new EnumMap<>(TaskClass.class);
+        Map<TaskClass, PolicyAssignments.Split> splits = new EnumMap<>(TaskClass.class);
         for (ConfigEntry entry : byAge)
         {
             guard(entry, badEntry, () -> readSpec(entry, registry, named, governing));
@@ -63,7 +63,8 @@
             guard(entry, badEntry, () -> readComparison(entry, named, splits));
         }
         PlacementPolicy fallback = registry.create(new PolicySpec(PolicyRegistry.WAITING_FIRST, null, null));
-        policies = new PolicyBook(governing, splits, new PolicyBook.Named(DEFAULT_POLICY, fallback));
+        policies = new PolicyAssignments(governing, splits,
+                new PolicyAssignments.Named(DEFAULT_POLICY, fallback));
     }
 
     /**
@@ -85,7 +86,7 @@
     }
 
     /** @return which policy governs which class */
-    public PolicyBook policies()
+    public PolicyAssignments policies()
     {
         return policies;
     }
@@ -115,8 +116,8 @@
         }
     }
 
-    private void readSpec(ConfigEntry entry, PolicyRegistry registry, Map<String, PolicyBook.Named> named,
-            Map<TaskClass, PolicyBook.Named> governing)
+    private void readSpec(ConfigEntry entry, PolicyRegistry registry,
+            Map<String, PolicyAssignments.Named> named, Map<TaskClass, PolicyAssignments.Named> governing)
     {
         String name = nameOf(entry);
         switch (specOf(entry))
@@ -124,7 +125,7 @@
             case WorkloadSpec workload -> workloads.put(name, workload);
             case TeamSpec team -> teams.put(name, team);
             case PolicySpec policy -> {
-                PolicyBook.Named made = new PolicyBook.Named(name, registry.create(policy));
+                PolicyAssignments.Named made = new PolicyAssignments.Named(name, registry.create(policy));
                 named.put(name, made);
                 policy.classes().forEach(taskClass -> governing.put(taskClass, made));
             }
@@ -134,21 +135,21 @@
         }
     }
 
-    private static void readComparison(ConfigEntry entry, Map<String, PolicyBook.Named> named,
-            Map<TaskClass, PolicyBook.Split> splits)
+    private static void readComparison(ConfigEntry entry, Map<String, PolicyAssignments.Named> named,
+            Map<TaskClass, PolicyAssignments.Split> splits)
     {
         if (!(specOf(entry) instanceof ComparisonSpec comparison))
         {
             return;
         }
-        PolicyBook.Named first = named.get(comparison.first());
-        PolicyBook.Named second = named.get(comparison.second());
+        PolicyAssignments.Named first = named.get(comparison.first());
+        PolicyAssignments.Named second = named.get(comparison.second());
         if (first == null || second == null)
         {
             throw new GaugehollowException(ResultCode.RESOURCE_INVALID, "a compared policy is not in force");
         }
         splits.put(comparison.taskClass(),
-                new PolicyBook.Split(nameOf(entry), first, second, comparison.secondPercent()));
+                new PolicyAssignments.Split(nameOf(entry), first, second, comparison.secondPercent()));
     }
 
     private static String nameOf(ConfigEntry entry)
--- a/gaugehollow/src/main/java/org/gaugehollow/config/ConfigKeeper.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/config/ConfigCache.java
@@ -26,7 +26,7 @@
  * revision, whichever way it comes: from the store's watch, from a peer, or from a write made here.
  * Thread-safe.
  */
-public final class ConfigKeeper
+public final class ConfigCache
 {
     /** How many changes are held for watches and for peers that lag. */
     public static final int HISTORY = 4096;
--- a/gaugehollow/src/main/java/org/gaugehollow/config/StoreFollower.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/config/StoreFollower.java
@@ -31,7 +31,7 @@
     private static final long SILENT_NANOS = 5_000_000_000L;
 
     private final PlatformStore store;
-    private final ConfigKeeper keeper;
+    private final ConfigCache keeper;
     private final BooleanSupplier isRelay;
     private final EventLog events;
 
@@ -41,7 +41,7 @@
      * @param isRelay whether this box is to follow the store now
      * @param events where losses of the watch are recorded
      */
-    public StoreFollower(PlatformStore store, ConfigKeeper keeper, BooleanSupplier isRelay, EventLog events)
+    public StoreFollower(PlatformStore store, ConfigCache keeper, BooleanSupplier isRelay, EventLog events)
     {
         this.store = store;
         this.keeper = keeper;
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/BoxReport.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/BoxReport.java
@@ -7,7 +7,7 @@
 import java.util.List;
 import java.util.Map;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /**
  * What a box says of itself to operators.
@@ -28,6 +28,6 @@
  */
 record BoxReport(String box, String hall, boolean ready, String rights, boolean storeAnswers,
         long configRevision, long mapEpoch, Map<String, Boolean> boxes, List<String> workers, int keySlots,
-        int keyRecords, Amounts free, int waiting)
+        int keyRecords, ComputeResources free, int waiting)
 {
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/EntryBox.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/EntryBox.java
@@ -17,31 +17,31 @@
 import java.util.concurrent.atomic.AtomicReference;
 
 import org.gaugehollow.config.ActiveConfig;
-import org.gaugehollow.config.ConfigKeeper;
+import org.gaugehollow.config.ConfigCache;
 import org.gaugehollow.config.ResourceStore;
 import org.gaugehollow.config.StoreFollower;
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.EventType;
 import org.gaugehollow.event.HybridClock;
 import org.gaugehollow.event.Metrics;
-import org.gaugehollow.keys.KeyCopier;
 import org.gaugehollow.keys.KeyLimits;
 import org.gaugehollow.keys.KeyOwnership;
+import org.gaugehollow.keys.KeyReplicator;
 import org.gaugehollow.keys.KeyTable;
 import org.gaugehollow.keys.ReplicaTable;
+import org.gaugehollow.membership.AssignmentMaps;
 import org.gaugehollow.membership.BoxIdentity;
-import org.gaugehollow.membership.HallView;
-import org.gaugehollow.membership.MapKeeper;
 import org.gaugehollow.membership.MapPlanner;
+import org.gaugehollow.membership.MapReconciler;
 import org.gaugehollow.membership.MapStore;
 import org.gaugehollow.membership.PeerMonitor;
 import org.gaugehollow.membership.Rights;
-import org.gaugehollow.membership.RosterKeeper;
-import org.gaugehollow.membership.StoreEvidence;
+import org.gaugehollow.membership.RosterCache;
+import org.gaugehollow.membership.StoreLiveness;
 import org.gaugehollow.membership.StoreSession;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.AssignmentMap;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.GaugehollowException;
-import org.gaugehollow.model.HallMap;
 import org.gaugehollow.model.PolicySpec;
 import org.gaugehollow.model.TaskClass;
 import org.gaugehollow.model.WorkloadSpec;
@@ -54,7 +54,7 @@
 import org.gaugehollow.peer.generated.PeerProtocol.BoxStatus;
 import org.gaugehollow.placement.EngineLimits;
 import org.gaugehollow.placement.PlacementEngine;
-import org.gaugehollow.placement.PolicyBook;
+import org.gaugehollow.placement.PolicyAssignments;
 import org.gaugehollow.placement.PolicyRegistry;
 import org.gaugehollow.platform.EtcdStore;
 import org.gaugehollow.platform.HttpWorkerRoster;
@@ -90,18 +90,18 @@
     private final NetLoops loops;
     private final Supervisor root;
     private final PlatformStore store;
-    private final ConfigKeeper config = new ConfigKeeper();
+    private final ConfigCache config = new ConfigCache();
     private final PolicyRegistry registry = new PolicyRegistry();
     private final AtomicReference<ActiveConfig> active = new AtomicReference<>();
-    private final HallView halls;
-    private final BlockingQueue<HallMap> newerMaps = new LinkedBlockingQueue<>();
+    private final AssignmentMaps halls;
+    private final BlockingQueue<AssignmentMap> newerMaps = new LinkedBlockingQueue<>();
     private final Rights rights;
-    private final StoreEvidence evidence;
-    private final RosterKeeper roster;
+    private final StoreLiveness evidence;
+    private final RosterCache roster;
     private final PeerDirectory directory;
     private final PeerMonitor peers;
     private final StoreSession session;
-    private final MapKeeper mapKeeper;
+    private final MapReconciler mapKeeper;
     private final MapStore mapStore;
     private final PlacementEngine engine;
     private final WorkerKeeper workers;
@@ -129,13 +129,13 @@
         this.events = new EventLog(id, new HybridClock(System::currentTimeMillis), Optional.of(metrics));
         this.loops = new NetLoops(Optional.ofNullable(settings.sourceIp()));
         this.root = new Supervisor(id, events);
-        this.evidence = new StoreEvidence(id, SteadyClock::nanos);
+        this.evidence = new StoreLiveness(id, SteadyClock::nanos);
         TimingSettings timing = settings.timing();
         this.store = openStore(settings.platform());
-        this.halls = new HallView(self.hall(), config, events);
+        this.halls = new AssignmentMaps(self.hall(), config, events);
         this.rights = new Rights((long) timing.leaseSeconds() * MILLIS - timing.leaseMarginMillis(),
                 timing.witnessMillis(), SteadyClock::nanos);
-        this.roster = new RosterKeeper(self.hall(), openRoster(settings.platform()), this::isRelay,
+        this.roster = new RosterCache(self.hall(), openRoster(settings.platform()), this::isRelay,
                 timing.rosterMillis(), events);
         this.directory = new PeerDirectory(loops, events, metrics);
         this.session = new StoreSession(self, store, rights, evidence, config, events, timing.leaseSeconds());
@@ -144,7 +144,7 @@
         this.peers = new PeerMonitor(parts, this::status, session::renewNow, timing.pingMillis(),
                 timing.witnessMillis());
         this.mapStore = new MapStore(self.hall(), store, config, events);
-        this.mapKeeper = new MapKeeper(parts, store, mapStore, peers, timing.witnessMillis(),
+        this.mapKeeper = new MapReconciler(parts, store, mapStore, peers, timing.witnessMillis(),
                 timing.abandonSeconds());
         this.engine = new PlacementEngine(engineLimits(settings.limits()), firstPolicies(),
                 SteadyClock::nanos);
@@ -152,7 +152,7 @@
                 events);
         this.keys = new KeyTable(keyLimits(), System::currentTimeMillis);
         this.replicas = new ReplicaTable(id);
-        KeyCopier copier = new KeyCopier(self, halls, directory, keys);
+        KeyReplicator copier = new KeyReplicator(self, halls, directory, keys);
         this.ownership = new KeyOwnership(id, keys, replicas, copier, System::currentTimeMillis, events);
         RequestSupport support = new RequestSupport(self, active, halls, rights, peers, directory,
                 new RetryBudget(settings.limits().retryPercent()), metrics, events);
@@ -201,14 +201,14 @@
                 settings.timing().clockSkewMillis(), settings.limits().records());
     }
 
-    private PolicyBook firstPolicies()
+    private PolicyAssignments firstPolicies()
     {
         PolicySpec waitingFirst = new PolicySpec(PolicyRegistry.WAITING_FIRST, null, null);
-        return new PolicyBook(Map.of(), Map.of(),
-                new PolicyBook.Named("default", registry.create(waitingFirst)));
+        return new PolicyAssignments(Map.of(), Map.of(),
+                new PolicyAssignments.Named("default", registry.create(waitingFirst)));
     }
 
-    private RequestRouter router(RequestSupport support, KeyCopier copier, PlacementLog placements)
+    private RequestRouter router(RequestSupport support, KeyReplicator copier, PlacementLog placements)
     {
         PeerForwarder forwarder = new PeerForwarder(support);
         LocalRunner runner = new LocalRunner(support, engine, workers, forwarder, placements);
@@ -220,8 +220,8 @@
         metrics.gauge("gaugehollow_waiting_tasks", "Tasks that wait for room.", engine::waiting);
         metrics.gauge("gaugehollow_free_slots", "Free slots on the workers of this box.",
                 () -> engine.free().slots());
-        metrics.gauge("gaugehollow_key_records", "Records of keys kept.", keys::records);
-        metrics.gauge("gaugehollow_rights", "1 while this box may place.", () -> rights.valid() ? 1 : 0);
+        metrics.gauge("gaugehollow_key_records", "Records of keys kept.", keys::recordCount);
+        metrics.gauge("gaugehollow_rights", "1 while this box may place.", () -> rights.isValid() ? 1 : 0);
         metrics.gauge("gaugehollow_config_revision", "The configuration in force.", config::revision);
     }
 
@@ -285,15 +285,15 @@
         String had = heldRights();
         while (true)
         {
-            HallMap map = newerMaps.poll(MATCH_MILLIS, TimeUnit.MILLISECONDS);
+            AssignmentMap map = newerMaps.poll(MATCH_MILLIS, TimeUnit.MILLISECONDS);
             while (map != null)
             {
-                ownership.follow(map);
-                peers.matchMap();
+                ownership.applyMap(map);
+                peers.syncWithMap();
                 map = newerMaps.poll();
             }
             workers.match();
-            peers.countVouchers();
+            peers.countConfirmations();
             had = noteRights(had);
         }
     }
@@ -316,27 +316,27 @@
 
     private String heldRights()
     {
-        if (!rights.valid())
+        if (!rights.isValid())
         {
             return "none";
         }
-        return rights.frozen() ? "frozen" : "valid";
+        return rights.isFrozen() ? "frozen" : "valid";
     }
 
     private void forgetUntilStopped() throws InterruptedException
     {
         while (true)
         {
-            keys.forgetOld();
-            replicas.forgetOld(System.currentTimeMillis() - keyLimits().recordMillis());
+            keys.evictExpired();
+            replicas.evictExpired(System.currentTimeMillis() - keyLimits().recordMillis());
             Thread.sleep(FORGET_MILLIS);
         }
     }
 
     private BoxStatus status()
     {
-        Amounts free = rights.valid() ? engine.free() : Amounts.NONE;
-        StoreEvidence.Sighting sighting = evidence.newestSighting();
+        ComputeResources free = rights.isValid() ? engine.free() : ComputeResources.NONE;
+        StoreLiveness.Contact sighting = evidence.lastContact();
         return BoxStatus.newBuilder().setBox(self.id()).setHall(self.hall())
                 .setStoreEvidenceBox(sighting.box()).setStoreEvidenceNumber(sighting.number())
                 .setStoreEvidenceAgeMillis(sighting.ageMillis()).setMapEpoch(halls.epoch())
@@ -350,12 +350,12 @@
     private BoxReport report()
     {
         Map<String, Boolean> boxes = new HashMap<>();
-        halls.map()
-                .ifPresent(map -> map.boxes().keySet().forEach(box -> boxes.put(box, peers.reachable(box))));
+        halls.map().ifPresent(
+                map -> map.boxes().keySet().forEach(box -> boxes.put(box, peers.isReachable(box))));
         return new BoxReport(self.id(), self.hall(), ready(), heldRights(), session.storeAnswers(),
                 config.revision(), halls.epoch(), boxes,
                 halls.map().map(map -> map.workersOf(self.id())).orElse(List.of()), keys.owned().size(),
-                keys.records(), engine.free(), engine.waiting());
+                keys.recordCount(), engine.free(), engine.waiting());
     }
 
     private boolean ready()
@@ -421,12 +421,12 @@
 
     private void leaveMap() throws InterruptedException
     {
-        Optional<HallView.Versioned> known = halls.versioned();
+        Optional<AssignmentMaps.Versioned> known = halls.versioned();
         boolean listed = known.isPresent() && known.get().map().boxes().containsKey(self.id());
         if (listed && giveAway.nothingLeft())
         {
             mapStore.change(known.get().revision(), MapPlanner.afterLeaving(known.get().map(), self.id()),
-                    MapStore.nobody());
+                    MapStore.noBoxes());
         }
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/GiveAway.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/GiveAway.java
@@ -16,16 +16,16 @@
 
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.EventType;
-import org.gaugehollow.keys.KeyCopier;
+import org.gaugehollow.keys.KeyReplicator;
 import org.gaugehollow.keys.KeyTable;
+import org.gaugehollow.membership.AssignmentMaps;
 import org.gaugehollow.membership.BoxIdentity;
-import org.gaugehollow.membership.HallView;
 import org.gaugehollow.membership.MapPlanner;
 import org.gaugehollow.membership.MapStore;
 import org.gaugehollow.membership.PeerMonitor;
 import org.gaugehollow.membership.Rights;
+import org.gaugehollow.model.AssignmentMap;
 import org.gaugehollow.model.GaugehollowException;
-import org.gaugehollow.model.HallMap;
 import org.gaugehollow.peer.generated.PeerProtocol.BoxStatus;
 import org.gaugehollow.supervise.SupervisedTask;
 
@@ -40,18 +40,19 @@
     private static final long LEAVING_PERIOD_MILLIS = 100;
 
     private final BoxIdentity self;
-    private final HallView halls;
+    private final AssignmentMaps halls;
     private final Rights rights;
     private final PeerMonitor peers;
     private final MapStore mapStore;
     private final WorkerKeeper workers;
     private final KeyTable keys;
-    private final KeyCopier copier;
+    private final KeyReplicator copier;
     private final EventLog events;
     private boolean unsettled;
     private volatile boolean leaving;
 
-    GiveAway(RequestSupport support, MapStore mapStore, WorkerKeeper workers, KeyTable keys, KeyCopier copier)
+    GiveAway(RequestSupport support, MapStore mapStore, WorkerKeeper workers, KeyTable keys,
+            KeyReplicator copier)
     {
         this.self = support.self();
         this.halls = support.halls();
@@ -89,8 +90,8 @@
 
     private void giveOnce() throws InterruptedException
     {
-        Optional<HallView.Versioned> known = halls.versioned();
-        boolean mayGive = known.isPresent() && rights.valid()
+        Optional<AssignmentMaps.Versioned> known = halls.versioned();
+        boolean mayGive = known.isPresent() && rights.isValid()
                 && known.get().map().boxes().containsKey(self.id());
         if (!mayGive)
         {
@@ -113,9 +114,9 @@
         }
     }
 
-    private void give(HallView.Versioned known) throws InterruptedException
+    private void give(AssignmentMaps.Versioned known) throws InterruptedException
     {
-        HallMap map = known.map();
+        AssignmentMap map = known.map();
         Map<String, Integer> workerCounts = receivers();
         Map<String, Integer> slotCounts = new TreeMap<>(workerCounts);
         workerCounts.replaceAll((box, zero) -> map.workersOf(box).size());
@@ -152,9 +153,10 @@
     }
 
     /** Hands over the slots in which nothing runs; the others follow in a later round. */
-    private Map<Integer, String> handOver(HallMap map, Map<Integer, String> gifts) throws InterruptedException
+    private Map<Integer, String> handOver(AssignmentMap map, Map<Integer, String> gifts)
+            throws InterruptedException
     {
-        List<Integer> idle = keys.idle(gifts.keySet());
+        List<Integer> idle = keys.idleSlots(gifts.keySet());
         Map<String, List<Integer>> byReceiver = new HashMap<>();
         idle.forEach(slot -> byReceiver.computeIfAbsent(gifts.get(slot), r -> new ArrayList<>()).add(slot));
         Map<Integer, String> handedOver = new LinkedHashMap<>();
@@ -173,13 +175,13 @@
         return handedOver;
     }
 
-    private void changeMap(HallView.Versioned known, Map<String, String> workerGifts,
+    private void changeMap(AssignmentMaps.Versioned known, Map<String, String> workerGifts,
             Map<Integer, String> slotGifts) throws InterruptedException
     {
         try
         {
-            HallMap next = MapPlanner.afterGiving(known.map(), workerGifts, slotGifts);
-            if (mapStore.change(known.revision(), next, MapStore.nobody()) && !slotGifts.isEmpty())
+            AssignmentMap next = MapPlanner.afterTransfer(known.map(), workerGifts, slotGifts);
+            if (mapStore.change(known.revision(), next, MapStore.noBoxes()) && !slotGifts.isEmpty())
             {
                 events.record(EventType.SLOTS_HANDED_OVER, self.id(), slotGifts.entrySet().stream()
                         .map(e -> e.getKey() + ">" + e.getValue()).collect(Collectors.joining(" ")));
@@ -199,12 +201,12 @@
      */
     private void settle() throws InterruptedException
     {
-        Optional<HallView.Versioned> known = halls.versioned();
+        Optional<AssignmentMaps.Versioned> known = halls.versioned();
         if (known.isPresent())
         {
-            HallMap map = known.get().map();
-            mapStore.change(known.get().revision(), MapPlanner.afterGiving(map, Map.of(), Map.of()),
-                    MapStore.nobody());
+            AssignmentMap map = known.get().map();
+            mapStore.change(known.get().revision(), MapPlanner.afterTransfer(map, Map.of(), Map.of()),
+                    MapStore.noBoxes());
         }
         unsettled = false;
         useWhatIsLeft();
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/KeyedRunner.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/KeyedRunner.java
@@ -9,8 +9,8 @@
 import java.util.concurrent.TimeoutException;
 
 import org.gaugehollow.event.EventType;
-import org.gaugehollow.keys.KeyCopier;
 import org.gaugehollow.keys.KeyEntry;
+import org.gaugehollow.keys.KeyReplicator;
 import org.gaugehollow.keys.KeyTable;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.ResultCode;
@@ -33,10 +33,10 @@
 
     private final RequestSupport support;
     private final KeyTable table;
-    private final KeyCopier copier;
+    private final KeyReplicator copier;
     private final LocalRunner runner;
 
-    KeyedRunner(RequestSupport support, KeyTable table, KeyCopier copier, LocalRunner runner)
+    KeyedRunner(RequestSupport support, KeyTable table, KeyReplicator copier, LocalRunner runner)
     {
         this.support = support;
         this.table = table;
@@ -51,14 +51,14 @@
      */
     Answer ask(CallerRequest request, WorkloadSpec workload, TeamSpec team) throws InterruptedException
     {
-        if (!support.rights().valid())
+        if (!support.rights().isValid())
         {
             return refused(ResultCode.NO_RIGHTS, "this box may not decide on the key now", request);
         }
-        KeyTable.Ask ask;
+        KeyTable.Registration ask;
         try
         {
-            ask = table.ask(request.team(), request.key(), request.workload(), request.keyIssuedAt(),
+            ask = table.register(request.team(), request.key(), request.workload(), request.keyIssuedAt(),
                     request.task());
         }
         catch (GaugehollowException e)
@@ -75,7 +75,7 @@
         return await(ask, request);
     }
 
-    private Answer await(KeyTable.Ask ask, CallerRequest request) throws InterruptedException
+    private Answer await(KeyTable.Registration ask, CallerRequest request) throws InterruptedException
     {
         try
         {
@@ -100,7 +100,7 @@
     /** Without rights another box may own the key by now and have run an earlier ask. */
     private boolean stillOwns()
     {
-        return support.rights().valid();
+        return support.rights().isValid();
     }
 
     private void runFirst(KeyEntry entry, CallerRequest request, WorkloadSpec workload, TeamSpec team)
@@ -123,11 +123,11 @@
         if (Answers.notRun(answer))
         {
             tell(entry.forgetRecord());
-            table.notRun(entry, answer);
+            table.recordNotRun(entry, answer);
         }
         else
         {
-            table.ended(entry, answer);
+            table.recordAnswer(entry, answer);
             tell(entry.endedRecord());
         }
     }
@@ -143,7 +143,7 @@
         {
             return Answers.refused(e, request.task(), support.self().id());
         }
-        if (!support.rights().valid())
+        if (!support.rights().isValid())
         {
             return refused(ResultCode.NO_RIGHTS, "this box's rights ended while it noted the key", request);
         }
@@ -156,7 +156,7 @@
         {
             try
             {
-                copier.copy(entry.intendedRecord());
+                copier.replicate(entry.intendedRecord());
                 return;
             }
             catch (GaugehollowException e)
@@ -189,7 +189,7 @@
     {
         try
         {
-            copier.copy(record);
+            copier.replicate(record);
         }
         catch (GaugehollowException e)
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/LocalRunner.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/LocalRunner.java
@@ -13,9 +13,9 @@
 import java.util.concurrent.TimeUnit;
 
 import org.gaugehollow.event.EventType;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.AssignmentMap;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.GaugehollowException;
-import org.gaugehollow.model.HallMap;
 import org.gaugehollow.model.ResultCode;
 import org.gaugehollow.model.TeamSpec;
 import org.gaugehollow.model.WorkloadSpec;
@@ -116,13 +116,13 @@
 
     private Optional<Placement> placeNow(TaskDemand demand)
     {
-        return support.rights().valid() ? engine.tryPlace(demand) : Optional.empty();
+        return support.rights().isValid() ? engine.tryPlace(demand) : Optional.empty();
     }
 
     private Optional<Answer> waitForRoom(CallerRequest request, WorkloadSpec workload, TaskDemand demand,
             long waitMillis) throws InterruptedException
     {
-        if (!support.rights().valid())
+        if (!support.rights().isValid())
         {
             Thread.sleep(Math.min(waitMillis, request.remainingMillis()));
             return Optional.empty();
@@ -191,10 +191,10 @@
     }
 
     /** The peers that last said they have room, those with most first; two are asked at most. */
-    private List<String> peersWithRoom(Amounts needs)
+    private List<String> peersWithRoom(ComputeResources needs)
     {
         Map<String, BoxStatus> statuses = support.peers().reachableStatuses();
-        Optional<HallMap> map = support.halls().map();
+        Optional<AssignmentMap> map = support.halls().map();
         if (map.isEmpty())
         {
             return List.of();
@@ -206,9 +206,9 @@
                 .map(e -> map.get().boxes().get(e.getKey()).peerAddress()).toList();
     }
 
-    private static boolean hasRoom(BoxStatus status, Amounts needs)
+    private static boolean hasRoom(BoxStatus status, ComputeResources needs)
     {
-        Amounts free = new Amounts(status.getFreeSlots(), status.getFreeCpuMillis(),
+        ComputeResources free = new ComputeResources(status.getFreeSlots(), status.getFreeCpuMillis(),
                 status.getFreeMemoryMib(), status.getFreeAccelerators());
         return !status.getLeaving() && free.fits(needs);
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/OwnedUpstream.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/OwnedUpstream.java
@@ -12,7 +12,7 @@
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.EventType;
 import org.gaugehollow.membership.Rights;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.Outcome;
 import org.gaugehollow.model.ResultCode;
@@ -115,7 +115,7 @@
     {
         while (true)
         {
-            if (!rights.valid())
+            if (!rights.isValid())
             {
                 setFit(false);
                 Thread.sleep(NO_RIGHTS_MILLIS);
@@ -141,7 +141,7 @@
         try
         {
             HttpReply reply = client.run(request, epoch, deadlineNanos, this::maySend);
-            health.answered();
+            health.recordSuccess();
             return reply;
         }
         catch (GaugehollowException e)
@@ -165,7 +165,7 @@
 
     private boolean maySend()
     {
-        return rights.valid() && !withheld && !closed;
+        return rights.isValid() && !withheld && !closed;
     }
 
     private void noteFailure(GaugehollowException e)
@@ -176,8 +176,8 @@
         }
         boolean out = switch (e.code())
         {
-            case UPSTREAM_REFUSED, FENCED -> health.unreachable();
-            case OUTCOME_UNKNOWN, UPSTREAM_TIMEOUT -> health.failed();
+            case UPSTREAM_REFUSED, FENCED -> health.recordUnreachable();
+            case OUTCOME_UNKNOWN, UPSTREAM_TIMEOUT -> health.recordFailure();
             default -> false;
         };
         if (out)
@@ -206,7 +206,7 @@
         catch (GaugehollowException e)
         {
             setFit(false);
-            boolean out = health.unreachable();
+            boolean out = health.recordUnreachable();
             if (out || reachable)
             {
                 events.record(claimed ? EventType.WORKER_OUT : EventType.WORKER_CLAIM_FAILED, worker.id(),
@@ -225,26 +225,26 @@
             events.record(EventType.WORKER_LEAVING, worker.id(), "by its own word");
         }
         leaving = report.leaving();
-        if (health.probed())
+        if (health.recordProbe())
         {
             events.record(EventType.WORKER_BACK, worker.id(), "");
         }
         int slots = Math.min(worker.capacity().slots(), health.allowedSlots());
-        Amounts usable = new Amounts(slots, worker.capacity().cpuMillis(), worker.capacity().memoryMib(),
-                worker.capacity().accelerators());
+        ComputeResources usable = new ComputeResources(slots, worker.capacity().cpuMillis(),
+                worker.capacity().memoryMib(), worker.capacity().accelerators());
         tellEngine(usable, foreign(report));
     }
 
-    private synchronized void tellEngine(Amounts usable, Amounts foreign)
+    private synchronized void tellEngine(ComputeResources usable, ComputeResources foreign)
     {
-        fit = !leaving && !listedAsLeaving && rights.valid();
+        fit = !leaving && !listedAsLeaving && rights.isValid();
         engine.putWorker(worker.id(), epoch, usable, foreign, fit && !withheld);
     }
 
     /** What runs there and was started before this claim, by an earlier owner or by this box. */
-    private Amounts foreign(UpstreamReport report)
+    private ComputeResources foreign(UpstreamReport report)
     {
-        Amounts sum = Amounts.NONE;
+        ComputeResources sum = ComputeResources.NONE;
         for (UpstreamTask task : report.tasks())
         {
             if (task.epoch() != epoch || inherited.contains(task.task()))
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/PauseDetector.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/PauseDetector.java
@@ -51,12 +51,12 @@
             boolean stoodStill = !SteadyClock.countsSuspension() && passed - ran > pauseMillis;
             if (stoodStill)
             {
-                rights.lost();
+                rights.revoke();
                 report(passed, "the monotonic clock stood still");
             }
             else if (ran > pauseMillis)
             {
-                rights.paused();
+                rights.suspend();
                 report(ran, "the process did not run");
             }
             lastNanos = nanos;
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/PeerCalls.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/PeerCalls.java
@@ -8,12 +8,12 @@
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.function.Supplier;
 
+import org.gaugehollow.config.ConfigCache;
 import org.gaugehollow.config.ConfigDelta;
-import org.gaugehollow.config.ConfigKeeper;
 import org.gaugehollow.keys.ReplicaTable;
-import org.gaugehollow.membership.RosterKeeper;
+import org.gaugehollow.membership.RosterCache;
 import org.gaugehollow.membership.StateMessages;
-import org.gaugehollow.membership.StoreEvidence;
+import org.gaugehollow.membership.StoreLiveness;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.ResultCode;
 import org.gaugehollow.peer.PeerHandler;
@@ -36,14 +36,14 @@
     private static final String UNTYPED = "application/octet-stream";
 
     private final Supplier<BoxStatus> ownStatus;
-    private final StoreEvidence evidence;
-    private final ConfigKeeper config;
-    private final RosterKeeper roster;
+    private final StoreLiveness evidence;
+    private final ConfigCache config;
+    private final RosterCache roster;
     private final ReplicaTable replicas;
     private final RequestRouter router;
     private final AtomicInteger inFlight = new AtomicInteger();
 
-    PeerCalls(Supplier<BoxStatus> ownStatus, StoreEvidence evidence, ConfigKeeper config, RosterKeeper roster,
+    PeerCalls(Supplier<BoxStatus> ownStatus, StoreLiveness evidence, ConfigCache config, RosterCache roster,
             ReplicaTable replicas, RequestRouter router)
     {
         this.ownStatus = ownStatus;
@@ -68,7 +68,7 @@
             case PING -> ping(call.getPing().getStatus());
             case FORWARD -> forward(call.getForward());
             case COPY -> Frame.newBuilder()
-                    .setCopyReply(CopyReply.newBuilder().setAccepted(replicas.take(call.getCopy())));
+                    .setCopyReply(CopyReply.newBuilder().setAccepted(replicas.applyCopy(call.getCopy())));
             case STATE -> state(call.getState());
             default ->
                 throw new GaugehollowException(ResultCode.PEER_BAD_CALL, "not a call: " + call.getBodyCase());
@@ -77,7 +77,7 @@
 
     private Frame.Builder ping(BoxStatus sender)
     {
-        evidence.heard(StateMessages.sightingOf(sender));
+        evidence.merge(StateMessages.contactOf(sender));
         return Frame.newBuilder().setPingReply(PingReply.newBuilder().setStatus(ownStatus.get()));
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/RequestRouter.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/RequestRouter.java
@@ -11,8 +11,8 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.gaugehollow.config.ActiveConfig;
+import org.gaugehollow.model.AssignmentMap;
 import org.gaugehollow.model.GaugehollowException;
-import org.gaugehollow.model.HallMap;
 import org.gaugehollow.model.KeySlots;
 import org.gaugehollow.model.ResultCode;
 import org.gaugehollow.model.TeamSpec;
@@ -161,7 +161,7 @@
         {
             return forwardToHall(team.homeHall(), request);
         }
-        Optional<HallMap> map = support.halls().map();
+        Optional<AssignmentMap> map = support.halls().map();
         if (map.isEmpty())
         {
             return refused(ResultCode.KEY_MOVING, "the hall has no map yet", request);
@@ -181,14 +181,14 @@
     /** Any box of the hall passes the request on to the owner; two are tried. */
     private Answer forwardToHall(String hall, CallerRequest request) throws InterruptedException
     {
-        List<HallMap.MapBox> boxes = support.halls().mapOf(hall).map(m -> List.copyOf(m.boxes().values()))
-                .orElse(List.of());
+        List<AssignmentMap.Member> boxes = support.halls().mapOf(hall)
+                .map(m -> List.copyOf(m.boxes().values())).orElse(List.of());
         if (request.hops() < MOST_HOPS)
         {
             int first = boxes.isEmpty() ? 0 : random.nextInt(boxes.size());
             for (int i = 0; i < Math.min(MOST_BOXES_TRIED, boxes.size()); i++)
             {
-                HallMap.MapBox box = boxes.get((first + i) % boxes.size());
+                AssignmentMap.Member box = boxes.get((first + i) % boxes.size());
                 Answer answer = forwarder.forward(box.peerAddress(), request, false);
                 if (Answers.codeOf(answer) != ResultCode.PEER_UNREACHABLE)
                 {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/RequestSupport.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/RequestSupport.java
@@ -9,8 +9,8 @@
 import org.gaugehollow.config.ActiveConfig;
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.Metrics;
+import org.gaugehollow.membership.AssignmentMaps;
 import org.gaugehollow.membership.BoxIdentity;
-import org.gaugehollow.membership.HallView;
 import org.gaugehollow.membership.PeerMonitor;
 import org.gaugehollow.membership.Rights;
 import org.gaugehollow.peer.PeerDirectory;
@@ -28,7 +28,8 @@
  * @param metrics counts requests
  * @param events the time line
  */
-record RequestSupport(BoxIdentity self, AtomicReference<ActiveConfig> config, HallView halls, Rights rights,
-        PeerMonitor peers, PeerDirectory directory, RetryBudget retries, Metrics metrics, EventLog events)
+record RequestSupport(BoxIdentity self, AtomicReference<ActiveConfig> config, AssignmentMaps halls,
+        Rights rights, PeerMonitor peers, PeerDirectory directory, RetryBudget retries, Metrics metrics,
+        EventLog events)
 {
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/ResourceApi.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/ResourceApi.java
@@ -11,7 +11,7 @@
 import java.util.concurrent.TimeUnit;
 
 import org.gaugehollow.config.ActiveConfig;
-import org.gaugehollow.config.ConfigKeeper;
+import org.gaugehollow.config.ConfigCache;
 import org.gaugehollow.config.ResourceStore;
 import org.gaugehollow.config.StoreKeys;
 import org.gaugehollow.model.Checks;
@@ -40,11 +40,11 @@
     private static final int CREATED = 201;
     private static final long HEARTBEAT_NANOS = TimeUnit.SECONDS.toNanos(2);
 
-    private final ConfigKeeper config;
+    private final ConfigCache config;
     private final ResourceStore store;
     private final PolicyRegistry policies;
 
-    ResourceApi(ConfigKeeper config, ResourceStore store, PolicyRegistry policies)
+    ResourceApi(ConfigCache config, ResourceStore store, PolicyRegistry policies)
     {
         this.config = config;
         this.store = store;
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/WorkerKeeper.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/WorkerKeeper.java
@@ -12,10 +12,10 @@
 import java.util.Set;
 
 import org.gaugehollow.event.EventLog;
-import org.gaugehollow.membership.HallView;
+import org.gaugehollow.membership.AssignmentMaps;
 import org.gaugehollow.membership.Rights;
-import org.gaugehollow.membership.RosterKeeper;
-import org.gaugehollow.model.HallMap;
+import org.gaugehollow.membership.RosterCache;
+import org.gaugehollow.model.AssignmentMap;
 import org.gaugehollow.model.Worker;
 import org.gaugehollow.net.NetAddress;
 import org.gaugehollow.net.NetLoops;
@@ -30,8 +30,8 @@
 final class WorkerKeeper
 {
     private final String self;
-    private final HallView halls;
-    private final RosterKeeper roster;
+    private final AssignmentMaps halls;
+    private final RosterCache roster;
     private final PlacementEngine engine;
     private final Rights rights;
     private final NetLoops loops;
@@ -40,7 +40,7 @@
     private final Map<String, OwnedUpstream> owned = new HashMap<>();
     private final Set<String> withheld = new HashSet<>();
 
-    WorkerKeeper(String self, HallView halls, RosterKeeper roster, PlacementEngine engine, Rights rights,
+    WorkerKeeper(String self, AssignmentMaps halls, RosterCache roster, PlacementEngine engine, Rights rights,
             NetLoops loops, Supervisor supervisor, EventLog events)
     {
         this.self = self;
@@ -56,10 +56,11 @@
     /** Makes the owned workers match map and list. */
     synchronized void match()
     {
-        Map<String, HallMap.Assignment> assigned = halls.map().map(HallMap::workers).orElse(Map.of());
+        Map<String, AssignmentMap.Assignment> assigned = halls.map().map(AssignmentMap::workers)
+                .orElse(Map.of());
         for (String id : Set.copyOf(owned.keySet()))
         {
-            HallMap.Assignment now = assigned.get(id);
+            AssignmentMap.Assignment now = assigned.get(id);
             boolean kept = now != null && now.box().equals(self) && now.epoch() == owned.get(id).epoch()
                     && sameWorker(id);
             if (!kept)
--- a/gaugehollow/src/main/java/org/gaugehollow/job/Cancellation.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/Cancellation.java
@@ -59,7 +59,7 @@
      * @param job an accepted job
      * @return whether it cancels that job
      */
-    public boolean concerns(JobRecord job)
+    public boolean appliesTo(JobRecord job)
     {
         return queue.equals(ANY_QUEUE)
                 || new JobScope(QueueSpec.named(queue), customer).covers(job.queue().name(), job.customer());
--- a/gaugehollow/src/main/java/org/gaugehollow/job/CrashHistory.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/CrashHistory.java
@@ -23,7 +23,7 @@
     public static final CrashHistory NONE = new CrashHistory(List.of());
 
     /** What a crash says of the task. */
-    public enum Evidence
+    public enum Attribution
     {
         /** The worker crashed right after it had started the run. */
         AT_START,
@@ -44,7 +44,7 @@
      * @param worker its id
      * @param evidence what is known of it
      */
-    public record Crash(String worker, Evidence evidence)
+    public record Crash(String worker, Attribution evidence)
     {
     }
 
@@ -59,7 +59,7 @@
      * @param evidence what is known now; it takes the place of what was known of that life before
      * @return the history with it
      */
-    public CrashHistory with(String worker, Evidence evidence)
+    public CrashHistory with(String worker, Attribution evidence)
     {
         List<Crash> all = new ArrayList<>(without(worker).crashes());
         all.add(new Crash(worker, evidence));
@@ -71,17 +71,17 @@
      * @return the history in which their crashes are explained; only those right after a start still
      *         count
      */
-    public CrashHistory explained(Set<String> workers)
+    public CrashHistory withExplained(Set<String> workers)
     {
         List<Crash> left = new ArrayList<>();
         for (Crash crash : crashes)
         {
             boolean isExplained = workers.contains(crash.worker());
-            if (isExplained && crash.evidence() == Evidence.AT_START)
+            if (isExplained && crash.evidence() == Attribution.AT_START)
             {
-                left.add(new Crash(crash.worker(), Evidence.EXPLAINED));
+                left.add(new Crash(crash.worker(), Attribution.EXPLAINED));
             }
-            else if (!isExplained || crash.evidence() == Evidence.EXPLAINED)
+            else if (!isExplained || crash.evidence() == Attribution.EXPLAINED)
             {
                 left.add(crash);
             }
@@ -92,8 +92,8 @@
     /** @return the ids of the workers' lives that surely crashed under a run, for all that is known */
     public Set<String> proven()
     {
-        return crashes.stream()
-                .filter(crash -> crash.evidence() == Evidence.AT_START || crash.evidence() == Evidence.LATER)
+        return crashes.stream().filter(
+                crash -> crash.evidence() == Attribution.AT_START || crash.evidence() == Attribution.LATER)
                 .map(Crash::worker).collect(Collectors.toUnmodifiableSet());
     }
 
@@ -110,7 +110,7 @@
      * @param evidence a kind of evidence
      * @return how many lives of workers ended that way
      */
-    public int count(Evidence evidence)
+    public int count(Attribution evidence)
     {
         return (int) crashes.stream().filter(crash -> crash.evidence() == evidence).count();
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/job/Customer.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/Customer.java
@@ -4,7 +4,7 @@
  */
 package org.gaugehollow.job;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /**
  * One of those who share a cell. Its keys are kept apart, so that they stand in no text that is
@@ -16,10 +16,11 @@
  * @param quota what it may have running on all workers together; an amount that is not limited is
  *            {@link #NO_LIMIT}
  */
-public record Customer(String name, double weight, Amounts quota)
+public record Customer(String name, double weight, ComputeResources quota)
 {
     /** An amount of a quota that is not limited. */
     public static final int NO_LIMIT = Integer.MAX_VALUE;
     /** A quota that limits nothing. */
-    public static final Amounts UNLIMITED = new Amounts(NO_LIMIT, NO_LIMIT, NO_LIMIT, NO_LIMIT);
+    public static final ComputeResources UNLIMITED = new ComputeResources(NO_LIMIT, NO_LIMIT, NO_LIMIT,
+            NO_LIMIT);
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/job/JobKeys.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/JobKeys.java
@@ -18,7 +18,7 @@
     /** Changes with every write of the owner, so that writes take effect in their order. */
     public static final String JOURNAL = "gaugehollow/journal";
     /** Workers whose leases the owner lets lapse because they do not answer. */
-    public static final String LAPSING = "gaugehollow/lapsing";
+    public static final String EXPIRING_LEASES = "gaugehollow/lapsing";
     /** Counts of waiting jobs, written by the owner. */
     public static final String SUMMARY = "gaugehollow/summary";
     /** The start of the boxes' registrations. */
--- a/gaugehollow/src/main/java/org/gaugehollow/job/JobRecord.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/JobRecord.java
@@ -24,13 +24,13 @@
     }
 
     /** @return the record of the same job once it is over */
-    public JobRecord whenOver()
+    public JobRecord toTombstone()
     {
         return new JobRecord(id, QueueSpec.named(queue.name()), null, acceptedMillis, customer);
     }
 
     /** @return whether the job is over */
-    public boolean over()
+    public boolean hasEnded()
     {
         return job == null;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/job/QuotaCheck.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/QuotaCheck.java
@@ -4,7 +4,7 @@
  */
 package org.gaugehollow.job;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.ResultCode;
 
@@ -35,7 +35,7 @@
         }
     }
 
-    private static boolean fits(Amounts quota, Amounts needs, long tasks)
+    private static boolean fits(ComputeResources quota, ComputeResources needs, long tasks)
     {
         return tasks * needs.cpuMillis() <= quota.cpuMillis()
                 && tasks * needs.memoryMib() <= quota.memoryMib()
--- a/gaugehollow/src/main/java/org/gaugehollow/job/StepSpec.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/StepSpec.java
@@ -6,7 +6,7 @@
 
 import java.util.List;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /**
  * One step of a job: a number of like tasks.
@@ -44,8 +44,8 @@
     /**
      * @return what one task takes of a worker; a task that fills takes no processor share of its own
      */
-    public Amounts needs()
+    public ComputeResources needs()
     {
-        return new Amounts(0, fills ? 0 : cpu, memoryMib, accelerators);
+        return new ComputeResources(0, fills ? 0 : cpu, memoryMib, accelerators);
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeyLimits.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeyLimits.java
@@ -9,8 +9,8 @@
  *
  * @param recordMillis how long a record is kept
  * @param skewMillis how far callers' clocks may be from the boxes'
- * @param mostRecords how many records a box keeps of its own slots
+ * @param maxRecords how many records a box keeps of its own slots
  */
-public record KeyLimits(long recordMillis, long skewMillis, int mostRecords)
+public record KeyLimits(long recordMillis, long skewMillis, int maxRecords)
 {
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeyOwnership.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeyOwnership.java
@@ -11,7 +11,7 @@
 
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.EventType;
-import org.gaugehollow.model.HallMap;
+import org.gaugehollow.model.AssignmentMap;
 import org.gaugehollow.model.ResultCode;
 import org.gaugehollow.peer.generated.PeerProtocol.Answer;
 
@@ -24,7 +24,7 @@
     private final String self;
     private final KeyTable table;
     private final ReplicaTable replicas;
-    private final KeyCopier copier;
+    private final KeyReplicator copier;
     private final LongSupplier wallMillis;
     private final EventLog events;
 
@@ -36,7 +36,7 @@
      * @param wallMillis the wall clock
      * @param events where taken slots are recorded
      */
-    public KeyOwnership(String self, KeyTable table, ReplicaTable replicas, KeyCopier copier,
+    public KeyOwnership(String self, KeyTable table, ReplicaTable replicas, KeyReplicator copier,
             LongSupplier wallMillis, EventLog events)
     {
         this.self = self;
@@ -52,9 +52,9 @@
      *
      * @param next the map now in force
      */
-    public synchronized void follow(HallMap next)
+    public synchronized void applyMap(AssignmentMap next)
     {
-        Optional<HallMap> before = replicas.follow(next);
+        Optional<AssignmentMap> before = replicas.applyMap(next);
         List<Integer> mine = next.slotsOf(self);
         List<Integer> lost = table.owned().stream().filter(slot -> !mine.contains(slot)).toList();
         List<Integer> gained = mine.stream().filter(slot -> !table.owned().contains(slot)).toList();
@@ -83,7 +83,7 @@
     }
 
     /** Returns whether all that was ever noted in the slot is known. */
-    private boolean take(int slot, Optional<HallMap> before, HallMap next)
+    private boolean take(int slot, Optional<AssignmentMap> before, AssignmentMap next)
     {
         long since = next.slotOwners().get(slot).epoch();
         String owner = before.map(map -> map.slotOwners().get(slot).box()).orElse("");
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeyCopier.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeyReplicator.java
@@ -9,10 +9,10 @@
 import java.util.concurrent.locks.ReadWriteLock;
 import java.util.concurrent.locks.ReentrantReadWriteLock;
 
+import org.gaugehollow.membership.AssignmentMaps;
 import org.gaugehollow.membership.BoxIdentity;
-import org.gaugehollow.membership.HallView;
+import org.gaugehollow.model.AssignmentMap;
 import org.gaugehollow.model.GaugehollowException;
-import org.gaugehollow.model.HallMap;
 import org.gaugehollow.model.ResultCode;
 import org.gaugehollow.peer.PeerDirectory;
 import org.gaugehollow.peer.PeerLink;
@@ -21,16 +21,16 @@
 import org.gaugehollow.peer.generated.PeerProtocol.KeyRecord;
 
 /** Copies this box's key records to the box that would succeed it. Thread-safe. */
-public final class KeyCopier
+public final class KeyReplicator
 {
     private static final int COPY_MILLIS = 1_500;
 
     private final BoxIdentity self;
-    private final HallView halls;
+    private final AssignmentMaps halls;
     private final PeerDirectory directory;
     private final KeyTable table;
     private final ReadWriteLock lock = new ReentrantReadWriteLock();
-    private HallMap.MapBox syncedWith;
+    private AssignmentMap.Member syncedWith;
 
     /**
      * @param self this box
@@ -38,7 +38,7 @@
      * @param directory the links to peers
      * @param table this box's records
      */
-    public KeyCopier(BoxIdentity self, HallView halls, PeerDirectory directory, KeyTable table)
+    public KeyReplicator(BoxIdentity self, AssignmentMaps halls, PeerDirectory directory, KeyTable table)
     {
         this.self = self;
         this.halls = halls;
@@ -54,9 +54,9 @@
      * @throws GaugehollowException with {@link ResultCode#NO_COPY} if the successor does not have it
      *             now
      */
-    public void copy(KeyRecord record) throws InterruptedException
+    public void replicate(KeyRecord record) throws InterruptedException
     {
-        Optional<HallMap.MapBox> target = successor();
+        Optional<AssignmentMap.Member> target = successor();
         if (target.isEmpty())
         {
             return;
@@ -98,18 +98,19 @@
      * @throws InterruptedException if the process stops
      * @throws GaugehollowException if the peer does not have them now
      */
-    public void handOver(HallMap.MapBox target, Collection<Integer> slots, long epoch)
+    public void handOver(AssignmentMap.Member target, Collection<Integer> slots, long epoch)
             throws InterruptedException
     {
         CopyCall.Builder call = callBuilder().setMapEpoch(epoch).setHandOver(true)
-                .addAllFull(table.evidence(slots));
+                .addAllFull(table.exportSlots(slots));
         if (!send(target, call))
         {
             throw new GaugehollowException(ResultCode.NO_COPY, target.id() + " does not take the slots");
         }
     }
 
-    private boolean sendIfSynced(HallMap.MapBox target, CopyCall.Builder call) throws InterruptedException
+    private boolean sendIfSynced(AssignmentMap.Member target, CopyCall.Builder call)
+            throws InterruptedException
     {
         lock.readLock().lock();
         try
@@ -122,13 +123,13 @@
         }
     }
 
-    private void syncAll(HallMap.MapBox target) throws InterruptedException
+    private void syncAll(AssignmentMap.Member target) throws InterruptedException
     {
         lock.writeLock().lock();
         try
         {
             syncedWith = null;
-            CopyCall.Builder call = callBuilder().addAllFull(table.evidence(table.owned()));
+            CopyCall.Builder call = callBuilder().addAllFull(table.exportSlots(table.owned()));
             if (send(target, call))
             {
                 syncedWith = target;
@@ -140,7 +141,7 @@
         }
     }
 
-    private boolean send(HallMap.MapBox target, CopyCall.Builder call) throws InterruptedException
+    private boolean send(AssignmentMap.Member target, CopyCall.Builder call) throws InterruptedException
     {
         PeerLink link = directory.link(target.peerAddress());
         try
@@ -159,7 +160,7 @@
         return CopyCall.newBuilder().setOwner(self.id()).setMapEpoch(halls.epoch());
     }
 
-    private Optional<HallMap.MapBox> successor()
+    private Optional<AssignmentMap.Member> successor()
     {
         return halls.map().flatMap(map -> map.successorOf(self.id()).map(box -> map.boxes().get(box)));
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeyTable.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeyTable.java
@@ -27,7 +27,7 @@
      * @param entry the key's record
      * @param first whether this ask made it, and so has to run the request
      */
-    public record Ask(KeyEntry entry, boolean first)
+    public record Registration(KeyEntry entry, boolean first)
     {
     }
 
@@ -58,7 +58,8 @@
      * @throws GaugehollowException if the key may have run before and nothing is known of it, or if the
      *             slot is not here
      */
-    public synchronized Ask ask(String team, String key, String workload, long issuedAt, String task)
+    public synchronized Registration register(String team, String key, String workload, long issuedAt,
+            String task)
     {
         int number = KeySlots.slotOf(team, key);
         KeySlot slot = slots.get(number);
@@ -74,14 +75,14 @@
                 throw new GaugehollowException(ResultCode.KEY_CONFLICT,
                         "the key was used for " + held.workload());
             }
-            return new Ask(held, false);
+            return new Registration(held, false);
         }
         if (slot.moving())
         {
             throw new GaugehollowException(ResultCode.KEY_MOVING, "the key's range is changing owner");
         }
         checkNeverRan(slot, issuedAt);
-        if (records >= limits.mostRecords())
+        if (records >= limits.maxRecords())
         {
             throw new GaugehollowException(ResultCode.QUEUE_FULL,
                     "the box keeps as many key records as it may");
@@ -89,7 +90,7 @@
         KeyEntry entry = new KeyEntry(team, key, workload, task, number, wallMillis.getAsLong());
         slot.entries().put(entry.name(), entry);
         records++;
-        return new Ask(entry, true);
+        return new Registration(entry, true);
     }
 
     /** A key without a record is new only if its record could not have been lost or forgotten. */
@@ -117,7 +118,7 @@
      * @param entry the record
      * @param answer the answer
      */
-    public synchronized void ended(KeyEntry entry, Answer answer)
+    public synchronized void recordAnswer(KeyEntry entry, Answer answer)
     {
         entry.answer().complete(answer);
     }
@@ -128,7 +129,7 @@
      * @param entry the record
      * @param answer the refusal, for those who joined the ask
      */
-    public synchronized void notRun(KeyEntry entry, Answer answer)
+    public synchronized void recordNotRun(KeyEntry entry, Answer answer)
     {
         KeySlot slot = slots.get(entry.slot());
         if (slot != null && slot.entries().remove(entry.name(), entry))
@@ -187,7 +188,7 @@
      * @param numbers slots held here
      * @return those of them in which no request runs
      */
-    public synchronized List<Integer> idle(Collection<Integer> numbers)
+    public synchronized List<Integer> idleSlots(Collection<Integer> numbers)
     {
         return numbers.stream().filter(n -> slots.containsKey(n) && !slots.get(n).hasRunning()).toList();
     }
@@ -196,7 +197,7 @@
      * @param numbers slots held here
      * @return all that is known of them
      */
-    public synchronized List<SlotEvidence> evidence(Collection<Integer> numbers)
+    public synchronized List<SlotEvidence> exportSlots(Collection<Integer> numbers)
     {
         List<SlotEvidence> evidence = new ArrayList<>();
         for (int number : numbers)
@@ -211,14 +212,14 @@
     }
 
     /** Forgets ended records that are older than they are kept. */
-    public synchronized void forgetOld()
+    public synchronized void evictExpired()
     {
         long before = wallMillis.getAsLong() - limits.recordMillis();
         slots.values().forEach(slot -> records -= slot.forgetBefore(before));
     }
 
     /** @return how many records are kept */
-    public synchronized int records()
+    public synchronized int recordCount()
     {
         return records;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/ReplicaTable.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/ReplicaTable.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-import org.gaugehollow.model.HallMap;
+import org.gaugehollow.model.AssignmentMap;
 import org.gaugehollow.peer.generated.PeerProtocol.CopyCall;
 import org.gaugehollow.peer.generated.PeerProtocol.KeyRecord;
 import org.gaugehollow.peer.generated.PeerProtocol.SlotEvidence;
@@ -29,7 +29,7 @@
     private final String self;
     private final Map<String, Map<Integer, KeySlot>> byOwner = new HashMap<>();
     private final Map<Integer, HandOver> handedOver = new HashMap<>();
-    private HallMap map;
+    private AssignmentMap map;
 
     /**
      * @param self this box's id
@@ -45,7 +45,7 @@
      * @param call the owner's call
      * @return whether they are kept; if not, the owner must not rely on them
      */
-    public synchronized boolean take(CopyCall call)
+    public synchronized boolean applyCopy(CopyCall call)
     {
         if (call.getHandOver())
         {
@@ -95,9 +95,9 @@
      * @param next the map now in force
      * @return the map before it, if it was the one directly before
      */
-    public synchronized Optional<HallMap> follow(HallMap next)
+    public synchronized Optional<AssignmentMap> applyMap(AssignmentMap next)
     {
-        HallMap before = map;
+        AssignmentMap before = map;
         map = next;
         boolean direct = before != null && next.epoch() == before.epoch() + 1;
         if (!direct)
@@ -142,7 +142,7 @@
      *
      * @param before the time, in milliseconds since 1970
      */
-    public synchronized void forgetOld(long before)
+    public synchronized void evictExpired(long before)
     {
         byOwner.values().forEach(slots -> slots.values().forEach(slot -> slot.forgetBefore(before)));
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/HallView.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/AssignmentMaps.java
@@ -11,20 +11,20 @@
 import java.util.concurrent.CopyOnWriteArrayList;
 import java.util.function.Consumer;
 
-import org.gaugehollow.config.ConfigKeeper;
+import org.gaugehollow.config.ConfigCache;
 import org.gaugehollow.config.StoreKeys;
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.EventType;
+import org.gaugehollow.model.AssignmentMap;
 import org.gaugehollow.model.ConfigEntry;
 import org.gaugehollow.model.GaugehollowException;
-import org.gaugehollow.model.HallMap;
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
 
 /**
  * The maps of the halls as this box knows them: part of the configuration, so they never revert.
  */
-public final class HallView
+public final class AssignmentMaps
 {
     /**
      * A map with the store's revision of it.
@@ -32,21 +32,21 @@
      * @param map the map
      * @param revision the revision to change it from
      */
-    public record Versioned(HallMap map, long revision)
+    public record Versioned(AssignmentMap map, long revision)
     {
     }
 
     private final String hall;
     private final EventLog events;
     private final Map<String, Versioned> maps = new ConcurrentHashMap<>();
-    private final List<Consumer<HallMap>> listeners = new CopyOnWriteArrayList<>();
+    private final List<Consumer<AssignmentMap>> listeners = new CopyOnWriteArrayList<>();
 
     /**
      * @param hall this box's hall
      * @param keeper the configuration
      * @param events where adopted maps are recorded
      */
-    public HallView(String hall, ConfigKeeper keeper, EventLog events)
+    public AssignmentMaps(String hall, ConfigCache keeper, EventLog events)
     {
         this.hall = hall;
         this.events = events;
@@ -56,13 +56,13 @@
     /**
      * @param listener is told when the map of this box's hall changed; it must return at once
      */
-    public void addListener(Consumer<HallMap> listener)
+    public void addListener(Consumer<AssignmentMap> listener)
     {
         listeners.add(listener);
     }
 
     /** @return the map of this box's hall, if one is known */
-    public Optional<HallMap> map()
+    public Optional<AssignmentMap> map()
     {
         return versioned().map(Versioned::map);
     }
@@ -77,7 +77,7 @@
      * @param other a hall
      * @return its map, if one is known
      */
-    public Optional<HallMap> mapOf(String other)
+    public Optional<AssignmentMap> mapOf(String other)
     {
         return Optional.ofNullable(maps.get(other)).map(Versioned::map);
     }
@@ -85,7 +85,7 @@
     /** @return the epoch of this hall's map, 0 where none is known */
     public long epoch()
     {
-        return map().map(HallMap::epoch).orElse(0L);
+        return map().map(AssignmentMap::epoch).orElse(0L);
     }
 
     private void adopt(List<ConfigEntry> applied)
@@ -110,7 +110,8 @@
         {
             try
             {
-                HallMap map = Json.read(entry.envelope(), HallMap.class, ResultCode.STORE_BAD_ANSWER);
+                AssignmentMap map = Json.read(entry.envelope(), AssignmentMap.class,
+                        ResultCode.STORE_BAD_ANSWER);
                 maps.put(name, new Versioned(map, entry.revision()));
             }
             catch (GaugehollowException e)
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/BoxIdentity.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/BoxIdentity.java
@@ -4,7 +4,7 @@
  */
 package org.gaugehollow.membership;
 
-import org.gaugehollow.model.HallMap;
+import org.gaugehollow.model.AssignmentMap;
 
 /**
  * Who this process is.
@@ -18,8 +18,8 @@
 public record BoxIdentity(String name, String id, String hall, String peerAddress)
 {
     /** @return this box as an entry of its hall's map */
-    public HallMap.MapBox asMapBox()
+    public AssignmentMap.Member toMember()
     {
-        return new HallMap.MapBox(id, peerAddress);
+        return new AssignmentMap.Member(id, peerAddress);
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/MapPlanner.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/MapPlanner.java
@@ -16,7 +16,7 @@
 import java.util.TreeSet;
 import java.util.function.BinaryOperator;
 
-import org.gaugehollow.model.HallMap;
+import org.gaugehollow.model.AssignmentMap;
 
 /** Works out the next map of a hall. Pure: the same input gives the same map on every box. */
 public final class MapPlanner
@@ -35,10 +35,10 @@
      * @param workers the workers that the hall should have
      * @return the next map, or the same object where nothing changes
      */
-    public static HallMap afterMembership(HallMap map, Set<String> removed,
-            Collection<HallMap.MapBox> joining, Set<String> workers)
+    public static AssignmentMap afterMembership(AssignmentMap map, Set<String> removed,
+            Collection<AssignmentMap.Member> joining, Set<String> workers)
     {
-        Map<String, HallMap.MapBox> boxes = new LinkedHashMap<>(map.boxes());
+        Map<String, AssignmentMap.Member> boxes = new LinkedHashMap<>(map.boxes());
         boxes.keySet().removeAll(removed);
         joining.forEach(box -> boxes.putIfAbsent(box.id(), box));
         if (boxes.isEmpty())
@@ -46,11 +46,11 @@
             return map;
         }
         long epoch = map.epoch() + 1;
-        List<HallMap.Assignment> slots = slotsAfter(map, boxes.keySet(), epoch);
-        Map<String, HallMap.Assignment> assigned = workersAfter(map, boxes.keySet(), workers, epoch);
+        List<AssignmentMap.Assignment> slots = slotsAfter(map, boxes.keySet(), epoch);
+        Map<String, AssignmentMap.Assignment> assigned = workersAfter(map, boxes.keySet(), workers, epoch);
         boolean same = boxes.equals(map.boxes()) && slots.equals(map.slotOwners())
                 && assigned.equals(map.workers());
-        return same ? map : new HallMap(epoch, boxes, assigned, slots);
+        return same ? map : new AssignmentMap(epoch, boxes, assigned, slots);
     }
 
     /**
@@ -61,15 +61,15 @@
      * @param slotsTo the new owner of each slot given
      * @return the next map
      */
-    public static HallMap afterGiving(HallMap map, Map<String, String> workersTo,
+    public static AssignmentMap afterTransfer(AssignmentMap map, Map<String, String> workersTo,
             Map<Integer, String> slotsTo)
     {
         long epoch = map.epoch() + 1;
-        Map<String, HallMap.Assignment> workers = new TreeMap<>(map.workers());
-        workersTo.forEach((worker, box) -> workers.put(worker, new HallMap.Assignment(box, epoch)));
-        List<HallMap.Assignment> slots = new ArrayList<>(map.slotOwners());
-        slotsTo.forEach((slot, box) -> slots.set(slot, new HallMap.Assignment(box, epoch)));
-        return new HallMap(epoch, map.boxes(), workers, slots);
+        Map<String, AssignmentMap.Assignment> workers = new TreeMap<>(map.workers());
+        workersTo.forEach((worker, box) -> workers.put(worker, new AssignmentMap.Assignment(box, epoch)));
+        List<AssignmentMap.Assignment> slots = new ArrayList<>(map.slotOwners());
+        slotsTo.forEach((slot, box) -> slots.set(slot, new AssignmentMap.Assignment(box, epoch)));
+        return new AssignmentMap(epoch, map.boxes(), workers, slots);
     }
 
     /**
@@ -79,11 +79,11 @@
      * @param box the box that leaves
      * @return the next map
      */
-    public static HallMap afterLeaving(HallMap map, String box)
+    public static AssignmentMap afterLeaving(AssignmentMap map, String box)
     {
-        Map<String, HallMap.MapBox> boxes = new LinkedHashMap<>(map.boxes());
+        Map<String, AssignmentMap.Member> boxes = new LinkedHashMap<>(map.boxes());
         boxes.remove(box);
-        return new HallMap(map.epoch() + 1, boxes, map.workers(), map.slotOwners());
+        return new AssignmentMap(map.epoch() + 1, boxes, map.workers(), map.slotOwners());
     }
 
     /**
@@ -122,16 +122,17 @@
      * A removed box's slots go to the first remaining box after it, which keeps the copies of its
      * records.
      */
-    private static List<HallMap.Assignment> slotsAfter(HallMap map, Set<String> remaining, long epoch)
+    private static List<AssignmentMap.Assignment> slotsAfter(AssignmentMap map, Set<String> remaining,
+            long epoch)
     {
         List<String> ring = new ArrayList<>(map.boxes().keySet());
-        List<HallMap.Assignment> slots = new ArrayList<>(map.slotOwners());
+        List<AssignmentMap.Assignment> slots = new ArrayList<>(map.slotOwners());
         for (int i = 0; i < slots.size(); i++)
         {
             String owner = slots.get(i).box();
             if (!remaining.contains(owner))
             {
-                slots.set(i, new HallMap.Assignment(heirOf(ring, owner, remaining), epoch));
+                slots.set(i, new AssignmentMap.Assignment(heirOf(ring, owner, remaining), epoch));
             }
         }
         return slots;
@@ -151,15 +152,15 @@
         return remaining.iterator().next();
     }
 
-    private static Map<String, HallMap.Assignment> workersAfter(HallMap map, Set<String> boxes,
+    private static Map<String, AssignmentMap.Assignment> workersAfter(AssignmentMap map, Set<String> boxes,
             Set<String> workers, long epoch)
     {
         Map<String, Integer> counts = new TreeMap<>();
         boxes.forEach(box -> counts.put(box, 0));
-        Map<String, HallMap.Assignment> kept = new TreeMap<>();
+        Map<String, AssignmentMap.Assignment> kept = new TreeMap<>();
         for (String worker : new TreeSet<>(workers))
         {
-            HallMap.Assignment held = map.workers().get(worker);
+            AssignmentMap.Assignment held = map.workers().get(worker);
             if (held != null && boxes.contains(held.box()))
             {
                 kept.put(worker, held);
@@ -172,7 +173,7 @@
             {
                 String poorest = counts.entrySet().stream().min(Map.Entry.comparingByValue()).orElseThrow()
                         .getKey();
-                kept.put(worker, new HallMap.Assignment(poorest, epoch));
+                kept.put(worker, new AssignmentMap.Assignment(poorest, epoch));
                 counts.merge(poorest, 1, Integer::sum);
             }
         }
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/MapKeeper.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/MapReconciler.java
@@ -16,8 +16,8 @@
 import org.gaugehollow.config.StoreKeys;
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.EventType;
+import org.gaugehollow.model.AssignmentMap;
 import org.gaugehollow.model.GaugehollowException;
-import org.gaugehollow.model.HallMap;
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
 import org.gaugehollow.platform.PlatformStore;
@@ -31,7 +31,7 @@
  * of the map that can reach each other, so the store sees the same few calls however many boxes
  * there are.
  */
-public final class MapKeeper implements SupervisedTask
+public final class MapReconciler implements SupervisedTask
 {
     private static final int RELAYS = 2;
     private static final long PERIOD_MILLIS = 500;
@@ -40,10 +40,10 @@
     private final BoxIdentity self;
     private final PlatformStore store;
     private final MapStore mapStore;
-    private final HallView halls;
+    private final AssignmentMaps halls;
     private final PeerMonitor peers;
-    private final RosterKeeper roster;
-    private final StoreEvidence evidence;
+    private final RosterCache roster;
+    private final StoreLiveness evidence;
     private final TakeoverGuard guard;
     private final EventLog events;
     private final Map<String, Long> workerMissingSince = new HashMap<>();
@@ -56,7 +56,7 @@
      * @param witnessMillis how long a peer's word is good for
      * @param abandonSeconds after how long a take-over goes ahead without its quorum, 0 for never
      */
-    public MapKeeper(PeerMonitor.Parts parts, PlatformStore store, MapStore mapStore, PeerMonitor peers,
+    public MapReconciler(PeerMonitor.Parts parts, PlatformStore store, MapStore mapStore, PeerMonitor peers,
             long witnessMillis, long abandonSeconds)
     {
         this.self = parts.self();
@@ -93,12 +93,12 @@
      */
     public boolean isRelay()
     {
-        Optional<HallMap> map = halls.map();
+        Optional<AssignmentMap> map = halls.map();
         if (map.isEmpty() || !map.get().boxes().containsKey(self.id()))
         {
             return true;
         }
-        List<String> first = map.get().boxes().keySet().stream().filter(peers::reachable).limit(RELAYS)
+        List<String> first = map.get().boxes().keySet().stream().filter(peers::isReachable).limit(RELAYS)
                 .toList();
         return first.contains(self.id());
     }
@@ -107,7 +107,7 @@
     {
         try
         {
-            Optional<HallView.Versioned> known = halls.versioned();
+            Optional<AssignmentMaps.Versioned> known = halls.versioned();
             if (known.isEmpty())
             {
                 createMap();
@@ -127,26 +127,26 @@
     {
         if (mapStore.refresh().isEmpty())
         {
-            mapStore.change(0, HallMap.first(self.asMapBox()), MapStore.nobody());
+            mapStore.change(0, AssignmentMap.initial(self.toMember()), MapStore.noBoxes());
         }
     }
 
-    private void reconcile(HallView.Versioned known) throws InterruptedException
+    private void reconcile(AssignmentMaps.Versioned known) throws InterruptedException
     {
         Map<String, MemberRecord> registered = registered();
-        evidence.answered();
+        evidence.recordContact();
         long listedAt = SteadyClock.nanos();
-        HallMap map = known.map();
+        AssignmentMap map = known.map();
         Set<String> lapsed = guard.lapsed(map, registered.keySet(), listedAt);
-        List<HallMap.MapBox> joining = new ArrayList<>();
+        List<AssignmentMap.Member> joining = new ArrayList<>();
         for (MemberRecord member : registered.values())
         {
             if (!member.leaving())
             {
-                joining.add(new HallMap.MapBox(member.box(), member.peerAddress()));
+                joining.add(new AssignmentMap.Member(member.box(), member.peerAddress()));
             }
         }
-        HallMap next = MapPlanner.afterMembership(map, lapsed, joining, workersWanted(map));
+        AssignmentMap next = MapPlanner.afterMembership(map, lapsed, joining, workersWanted(map));
         if (next != map && mapStore.change(known.revision(), next, lapsed))
         {
             lapsed.forEach(box -> events.record(EventType.BOX_REMOVED, box, "epoch " + next.epoch()));
@@ -169,7 +169,7 @@
      * The workers of the list, and for a while those that it no longer names, since it lags and may
      * flicker.
      */
-    private Set<String> workersWanted(HallMap map)
+    private Set<String> workersWanted(AssignmentMap map)
     {
         long now = SteadyClock.nanos();
         Set<String> listed = roster.workers().keySet();
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/MapStore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/MapStore.java
@@ -8,13 +8,13 @@
 import java.util.List;
 import java.util.Optional;
 
-import org.gaugehollow.config.ConfigKeeper;
+import org.gaugehollow.config.ConfigCache;
 import org.gaugehollow.config.StoreKeys;
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.EventType;
+import org.gaugehollow.model.AssignmentMap;
 import org.gaugehollow.model.ConfigEntry;
 import org.gaugehollow.model.GaugehollowException;
-import org.gaugehollow.model.HallMap;
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
 import org.gaugehollow.platform.PlatformStore;
@@ -29,7 +29,7 @@
 {
     private final String hall;
     private final PlatformStore store;
-    private final ConfigKeeper config;
+    private final ConfigCache config;
     private final EventLog events;
 
     /**
@@ -38,7 +38,7 @@
      * @param config takes the changed map at once
      * @param events where changes are recorded
      */
-    public MapStore(String hall, PlatformStore store, ConfigKeeper config, EventLog events)
+    public MapStore(String hall, PlatformStore store, ConfigCache config, EventLog events)
     {
         this.hall = hall;
         this.store = store;
@@ -56,7 +56,8 @@
      * @throws InterruptedException if the process stops
      * @throws GaugehollowException if the store did not say, and the change may still take effect
      */
-    public boolean change(long from, HallMap next, Collection<String> absent) throws InterruptedException
+    public boolean change(long from, AssignmentMap next, Collection<String> absent)
+            throws InterruptedException
     {
         String key = StoreKeys.CONFIG + StoreKeys.hallMap(hall);
         byte[] bytes = Json.write(next);
@@ -80,16 +81,16 @@
      * @return the map that the store holds, if there is one
      * @throws InterruptedException if the process stops
      */
-    public Optional<HallMap> refresh() throws InterruptedException
+    public Optional<AssignmentMap> refresh() throws InterruptedException
     {
         String name = StoreKeys.hallMap(hall);
         Optional<StoredValue> held = store.get(StoreKeys.CONFIG + name);
         held.ifPresent(v -> config.applyOwn(new ConfigEntry(name, v.modRevision(), v.value(), false)));
-        return held.map(v -> Json.read(v.value(), HallMap.class, ResultCode.STORE_BAD_ANSWER));
+        return held.map(v -> Json.read(v.value(), AssignmentMap.class, ResultCode.STORE_BAD_ANSWER));
     }
 
     /** @return what a change needs when no box has to be absent */
-    public static List<String> nobody()
+    public static List<String> noBoxes()
     {
         return List.of();
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/PeerMonitor.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/PeerMonitor.java
@@ -14,12 +14,12 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.function.Supplier;
 
+import org.gaugehollow.config.ConfigCache;
 import org.gaugehollow.config.ConfigDelta;
-import org.gaugehollow.config.ConfigKeeper;
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.EventType;
+import org.gaugehollow.model.AssignmentMap;
 import org.gaugehollow.model.GaugehollowException;
-import org.gaugehollow.model.HallMap;
 import org.gaugehollow.peer.PeerDirectory;
 import org.gaugehollow.peer.PeerLink;
 import org.gaugehollow.peer.generated.PeerProtocol.BoxStatus;
@@ -40,12 +40,12 @@
     private static final int STATE_CALL_MILLIS = 2_000;
 
     private final BoxIdentity self;
-    private final HallView halls;
+    private final AssignmentMaps halls;
     private final PeerDirectory directory;
-    private final ConfigKeeper config;
-    private final RosterKeeper roster;
+    private final ConfigCache config;
+    private final RosterCache roster;
     private final Rights rights;
-    private final StoreEvidence evidence;
+    private final StoreLiveness evidence;
     private final Supplier<BoxStatus> ownStatus;
     private final Runnable renewNow;
     private final Supervisor supervisor;
@@ -55,9 +55,8 @@
     private final Map<String, PeerView> views = new ConcurrentHashMap<>();
 
     /** What the monitor works with. */
-    public record Parts(BoxIdentity self, HallView halls, PeerDirectory directory, ConfigKeeper config,
-            RosterKeeper roster, Rights rights, StoreEvidence evidence, Supervisor supervisor,
-            EventLog events)
+    public record Parts(BoxIdentity self, AssignmentMaps halls, PeerDirectory directory, ConfigCache config,
+            RosterCache roster, Rights rights, StoreLiveness evidence, Supervisor supervisor, EventLog events)
     {
     }
 
@@ -87,9 +86,9 @@
     }
 
     /** Starts and stops pings to match the map. Called by one task. */
-    public void matchMap()
+    public void syncWithMap()
     {
-        Map<String, HallMap.MapBox> boxes = halls.map().map(HallMap::boxes).orElse(Map.of());
+        Map<String, AssignmentMap.Member> boxes = halls.map().map(AssignmentMap::boxes).orElse(Map.of());
         Set<String> wanted = new HashSet<>(boxes.keySet());
         wanted.remove(self.id());
         for (String running : supervisor.taskNames())
@@ -124,9 +123,9 @@
      * @param box a box of the map
      * @return whether it is this one or answered the last ping
      */
-    public boolean reachable(String box)
+    public boolean isReachable(String box)
     {
-        return box.equals(self.id()) || view(box).map(PeerView::reachable).orElse(false);
+        return box.equals(self.id()) || view(box).map(PeerView::isReachable).orElse(false);
     }
 
     /** @return the boxes of the map that answered the last ping, with what they said */
@@ -135,7 +134,7 @@
         Map<String, BoxStatus> statuses = new ConcurrentHashMap<>();
         views.forEach((box, view) ->
         {
-            if (view.reachable())
+            if (view.isReachable())
             {
                 view.status().ifPresent(status -> statuses.put(box, status));
             }
@@ -163,24 +162,24 @@
     }
 
     /** Counts the vouchers and extends this box's rights by them. */
-    public void countVouchers()
+    public void countConfirmations()
     {
-        Optional<HallMap> map = halls.map();
+        Optional<AssignmentMap> map = halls.map();
         if (map.isEmpty() || map.get().boxes().size() < 2 || !map.get().boxes().containsKey(self.id()))
         {
             return;
         }
         List<Long> vouchedAt = new ArrayList<>();
-        if (rights.vouchedBy(evidence.newestNanos()))
+        if (rights.isConfirmedBy(evidence.lastContactNanos()))
         {
             vouchedAt.add(SteadyClock.nanos());
         }
         for (String box : map.get().boxes().keySet())
         {
-            OptionalLong at = view(box).map(PeerView::vouchedPingSentAt).orElse(OptionalLong.empty());
+            OptionalLong at = view(box).map(PeerView::confirmedPingSentAt).orElse(OptionalLong.empty());
             at.ifPresent(vouchedAt::add);
         }
-        rights.witnessed(vouchedAt, map.get().majority());
+        rights.extendByQuorum(vouchedAt, map.get().majority());
     }
 
     private void pingUntilStopped(String box, PeerLink link) throws InterruptedException
@@ -188,7 +187,7 @@
         while (true)
         {
             pingOnce(box, link);
-            countVouchers();
+            countConfirmations();
             Thread.sleep(pingMillis);
         }
     }
@@ -196,7 +195,7 @@
     private void pingOnce(String box, PeerLink link) throws InterruptedException
     {
         PeerView view = views.getOrDefault(box, new PeerView());
-        boolean before = view.reachable();
+        boolean before = view.isReachable();
         long sentAt = SteadyClock.nanos();
         try
         {
@@ -223,9 +222,9 @@
     private void take(String box, PeerView view, long sentAt, BoxStatus status)
     {
         long age = status.getStoreEvidenceAgeMillis();
-        long answeredAt = evidence.heard(StateMessages.sightingOf(status));
+        long answeredAt = evidence.merge(StateMessages.contactOf(status));
         boolean sameMap = status.getMapEpoch() == halls.epoch() && status.getBox().equals(box);
-        boolean wasVouched = rights.vouchedBy(answeredAt);
+        boolean wasVouched = rights.isConfirmedBy(answeredAt);
         view.replied(sentAt, status, sameMap && (age < 0 || wasVouched));
         if (!wasVouched && age >= 0)
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/PeerView.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/PeerView.java
@@ -44,7 +44,7 @@
     }
 
     /** @return whether the last ping was answered */
-    public synchronized boolean reachable()
+    public synchronized boolean isReachable()
     {
         return reachable;
     }
@@ -62,7 +62,7 @@
     }
 
     /** @return when the newest ping that was answered with a voucher had been sent */
-    public synchronized OptionalLong vouchedPingSentAt()
+    public synchronized OptionalLong confirmedPingSentAt()
     {
         return vouches ? OptionalLong.of(vouchedPingSentAt) : OptionalLong.empty();
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/Rights.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/Rights.java
@@ -39,14 +39,14 @@
     }
 
     /** @return whether this box may place and dispatch at this moment */
-    public synchronized boolean valid()
+    public synchronized boolean isValid()
     {
         long now = nanoTime.getAsLong();
         return leaseUntil - now > 0 || witnessUntil - now > 0;
     }
 
     /** @return whether the right rests on the word of peers alone */
-    public synchronized boolean frozen()
+    public synchronized boolean isFrozen()
     {
         long now = nanoTime.getAsLong();
         return leaseUntil - now <= 0 && witnessUntil - now > 0;
@@ -55,7 +55,7 @@
     /**
      * @param sentAt when the renewal that the store confirmed was sent, on the monotonic clock
      */
-    public synchronized void renewed(long sentAt)
+    public synchronized void renew(long sentAt)
     {
         registered = true;
         renewalSentAt = sentAt;
@@ -66,7 +66,7 @@
      * The process did not run for a while: what it held is put aside until the store or the peers
      * confirm it anew.
      */
-    public synchronized void paused()
+    public synchronized void suspend()
     {
         leaseUntil = nanoTime.getAsLong();
         witnessUntil = leaseUntil;
@@ -76,7 +76,7 @@
      * The store no longer knows the lease, or the clock cannot be trusted: nothing counts until it is
      * renewed.
      */
-    public synchronized void lost()
+    public synchronized void revoke()
     {
         registered = false;
         leaseUntil = nanoTime.getAsLong();
@@ -90,7 +90,7 @@
      * @param storeAnsweredAt the newest answer known, on the monotonic clock, at the latest
      * @return whether it does
      */
-    public synchronized boolean vouchedBy(long storeAnsweredAt)
+    public synchronized boolean isConfirmedBy(long storeAnsweredAt)
     {
         return registered && storeAnsweredAt - (renewalSentAt + leaseNanos) <= 0;
     }
@@ -101,7 +101,7 @@
      * @param vouchedAt when each box that vouches was last asked, this box included
      * @param majority how many are needed
      */
-    public synchronized void witnessed(List<Long> vouchedAt, int majority)
+    public synchronized void extendByQuorum(List<Long> vouchedAt, int majority)
     {
         if (!registered || vouchedAt.size() < majority)
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/RosterKeeper.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/RosterCache.java
@@ -24,7 +24,7 @@
  * relays, taken from them by the other boxes. The last list stays in use while the platform is
  * silent.
  */
-public final class RosterKeeper implements SupervisedTask
+public final class RosterCache implements SupervisedTask
 {
     private final String hall;
     private final WorkerRoster source;
@@ -42,7 +42,7 @@
      * @param periodMillis how often
      * @param events where changes are recorded
      */
-    public RosterKeeper(String hall, WorkerRoster source, BooleanSupplier isRelay, long periodMillis,
+    public RosterCache(String hall, WorkerRoster source, BooleanSupplier isRelay, long periodMillis,
             EventLog events)
     {
         this.hall = hall;
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/StateMessages.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/StateMessages.java
@@ -26,9 +26,9 @@
      * @param status what a peer says of itself
      * @return the newest answer of the store that it knows of
      */
-    public static StoreEvidence.Sighting sightingOf(BoxStatus status)
+    public static StoreLiveness.Contact contactOf(BoxStatus status)
     {
-        return new StoreEvidence.Sighting(status.getStoreEvidenceBox(), status.getStoreEvidenceNumber(),
+        return new StoreLiveness.Contact(status.getStoreEvidenceBox(), status.getStoreEvidenceNumber(),
                 status.getStoreEvidenceAgeMillis());
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/StoreEvidence.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/StoreLiveness.java
@@ -17,7 +17,7 @@
  * that the same answer heard of again, over a slower way, never looks younger than it is. The time
  * never goes back to before an answer that is known. Thread-safe.
  */
-public final class StoreEvidence
+public final class StoreLiveness
 {
     /** The age that says that no answer is known. */
     public static final long NEVER = -1L;
@@ -31,10 +31,10 @@
      * @param number counts the answers that this box got
      * @param ageMillis how long ago that was, milliseconds
      */
-    public record Sighting(String box, long number, long ageMillis)
+    public record Contact(String box, long number, long ageMillis)
     {
         /** No answer is known. */
-        public static final Sighting NONE = new Sighting("", 0, NEVER);
+        public static final Contact NONE = new Contact("", 0, NEVER);
     }
 
     /** An answer and the latest time at which it can have been given. */
@@ -51,7 +51,7 @@
      * @param self this box's id
      * @param nanoTime a monotonic clock
      */
-    public StoreEvidence(String self, LongSupplier nanoTime)
+    public StoreLiveness(String self, LongSupplier nanoTime)
     {
         this.self = self;
         this.nanoTime = nanoTime;
@@ -59,7 +59,7 @@
     }
 
     /** The store answered this box just now. */
-    public synchronized void answered()
+    public synchronized void recordContact()
     {
         Answer last = answers.get(self);
         answers.put(self, new Answer(last == null ? 1 : last.number() + 1, nanoTime.getAsLong()));
@@ -72,11 +72,11 @@
      * @return when that answer was given, at the latest, on the monotonic clock; the newest known time
      *         if the peer knows of none
      */
-    public synchronized long heard(Sighting sighting)
+    public synchronized long merge(Contact sighting)
     {
         if (sighting.ageMillis() < 0)
         {
-            return newestNanos();
+            return lastContactNanos();
         }
         long at = nanoTime.getAsLong() - TimeUnit.MILLISECONDS.toNanos(sighting.ageMillis());
         Answer known = answers.get(sighting.box());
@@ -95,16 +95,16 @@
     }
 
     /** @return when the store last answered anyone, as far as is known, on the monotonic clock */
-    public synchronized long newestNanos()
+    public synchronized long lastContactNanos()
     {
         return newest().map(entry -> entry.getValue().at()).orElse(startedAt);
     }
 
     /** @return the newest answer that is known, to tell peers of */
-    public synchronized Sighting newestSighting()
+    public synchronized Contact lastContact()
     {
-        return newest().map(entry -> new Sighting(entry.getKey(), entry.getValue().number(),
-                ageMillis(entry.getValue().at()))).orElse(Sighting.NONE);
+        return newest().map(entry -> new Contact(entry.getKey(), entry.getValue().number(),
+                ageMillis(entry.getValue().at()))).orElse(Contact.NONE);
     }
 
     private Optional<Map.Entry<String, Answer>> newest()
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/StoreSession.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/StoreSession.java
@@ -10,7 +10,7 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import org.gaugehollow.config.ConfigKeeper;
+import org.gaugehollow.config.ConfigCache;
 import org.gaugehollow.config.StoreKeys;
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.EventType;
@@ -35,8 +35,8 @@
     private final BoxIdentity self;
     private final PlatformStore store;
     private final Rights rights;
-    private final StoreEvidence evidence;
-    private final ConfigKeeper config;
+    private final StoreLiveness evidence;
+    private final ConfigCache config;
     private final EventLog events;
     private final int leaseSeconds;
     private final Semaphore wake = new Semaphore(0);
@@ -54,8 +54,8 @@
      * @param events where gains and losses are recorded
      * @param leaseSeconds how long the store keeps a silent lease
      */
-    public StoreSession(BoxIdentity self, PlatformStore store, Rights rights, StoreEvidence evidence,
-            ConfigKeeper config, EventLog events, int leaseSeconds)
+    public StoreSession(BoxIdentity self, PlatformStore store, Rights rights, StoreLiveness evidence,
+            ConfigCache config, EventLog events, int leaseSeconds)
     {
         this.self = self;
         this.store = store;
@@ -113,7 +113,7 @@
      */
     public synchronized void end() throws InterruptedException
     {
-        rights.lost();
+        rights.revoke();
         if (lease != 0)
         {
             store.revokeLease(lease);
@@ -147,14 +147,14 @@
     {
         long sentAt = SteadyClock.nanos();
         boolean known = store.renewLease(lease);
-        evidence.answered();
+        evidence.recordContact();
         if (known)
         {
-            rights.renewed(sentAt);
+            rights.renew(sentAt);
             return;
         }
         lease = 0;
-        rights.lost();
+        rights.revoke();
         events.record(EventType.LEASE_LOST, self.id(), "");
         register();
     }
@@ -163,7 +163,7 @@
     {
         long sentAt = SteadyClock.nanos();
         lease = store.grantLease(leaseSeconds * MILLIS);
-        evidence.answered();
+        evidence.recordContact();
         try
         {
             putMember();
@@ -174,7 +174,7 @@
             lease = 0;
             throw e;
         }
-        rights.renewed(sentAt);
+        rights.renew(sentAt);
         events.record(EventType.LEASE_GRANTED, self.id(), "lease " + lease);
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/TakeoverGuard.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/TakeoverGuard.java
@@ -12,7 +12,7 @@
 
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.EventType;
-import org.gaugehollow.model.HallMap;
+import org.gaugehollow.model.AssignmentMap;
 
 /**
  * Says which boxes may be taken over from. A box whose key is gone from the store may still have
@@ -67,7 +67,7 @@
      * @param now the present time, at most as late as the listing was asked for
      * @return the boxes of the map whose rights have surely ended
      */
-    Set<String> lapsed(HallMap map, Set<String> registered, long now)
+    Set<String> lapsed(AssignmentMap map, Set<String> registered, long now)
     {
         missing.keySet().removeIf(box -> registered.contains(box) || !map.boxes().containsKey(box));
         Set<String> lapsed = new HashSet<>();
@@ -81,7 +81,7 @@
         return lapsed;
     }
 
-    private boolean hasLapsed(HallMap map, String box, long now)
+    private boolean hasLapsed(AssignmentMap map, String box, long now)
     {
         Missing state = missing.get(box);
         if (state == null)
@@ -104,12 +104,12 @@
     }
 
     /** A map of one box is never extended by peers, so there is nobody to inform. */
-    private static int needed(HallMap map)
+    private static int needed(AssignmentMap map)
     {
         return map.boxes().size() == 1 ? 0 : map.takeoverQuorum();
     }
 
-    private int informed(HallMap map, long since)
+    private int informed(AssignmentMap map, long since)
     {
         int count = 0;
         for (String box : map.boxes().keySet())
--- a/gaugehollow/src/main/java/org/gaugehollow/model/HallMap.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/AssignmentMap.java
@@ -21,7 +21,7 @@
  * @param workers the owner of each worker
  * @param slotOwners the box that owns each key slot
  */
-public record HallMap(long epoch, Map<String, MapBox> boxes, Map<String, Assignment> workers,
+public record AssignmentMap(long epoch, Map<String, Member> boxes, Map<String, Assignment> workers,
         List<Assignment> slotOwners)
 {
     /**
@@ -30,7 +30,7 @@
      * @param id its id, unique to one run of the process
      * @param peerAddress where its peers reach it
      */
-    public record MapBox(String id, String peerAddress)
+    public record Member(String id, String peerAddress)
     {
     }
 
@@ -45,7 +45,7 @@
     }
 
     /** Copies the collections. */
-    public HallMap
+    public AssignmentMap
     {
         boxes = new LinkedHashMap<>(boxes);
         workers = new TreeMap<>(workers);
@@ -58,14 +58,14 @@
      * @param first the box
      * @return the first map
      */
-    public static HallMap first(MapBox first)
+    public static AssignmentMap initial(Member first)
     {
         List<Assignment> owners = new ArrayList<>();
         for (int i = 0; i < KeySlots.COUNT; i++)
         {
             owners.add(new Assignment(first.id(), 1));
         }
-        return new HallMap(1, Map.of(first.id(), first), Map.of(), owners);
+        return new AssignmentMap(1, Map.of(first.id(), first), Map.of(), owners);
     }
 
     /**
--- a/gaugehollow/src/main/java/org/gaugehollow/model/Amounts.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/ComputeResources.java
@@ -12,13 +12,13 @@
  * @param memoryMib memory in MiB
  * @param accelerators whole accelerators
  */
-public record Amounts(int slots, int cpuMillis, int memoryMib, int accelerators)
+public record ComputeResources(int slots, int cpuMillis, int memoryMib, int accelerators)
 {
     /** Nothing at all. */
-    public static final Amounts NONE = new Amounts(0, 0, 0, 0);
+    public static final ComputeResources NONE = new ComputeResources(0, 0, 0, 0);
 
     /** Checks that no amount is negative. */
-    public Amounts
+    public ComputeResources
     {
         if (slots < 0 || cpuMillis < 0 || memoryMib < 0 || accelerators < 0)
         {
@@ -30,36 +30,37 @@
      * @param other what is to be added
      * @return the sum
      */
-    public Amounts plus(Amounts other)
+    public ComputeResources plus(ComputeResources other)
     {
-        return new Amounts(slots + other.slots, cpuMillis + other.cpuMillis, memoryMib + other.memoryMib,
-                accelerators + other.accelerators);
+        return new ComputeResources(slots + other.slots, cpuMillis + other.cpuMillis,
+                memoryMib + other.memoryMib, accelerators + other.accelerators);
     }
 
     /**
      * @param other what is taken away; it must fit
      * @return the rest
      */
-    public Amounts minus(Amounts other)
+    public ComputeResources minus(ComputeResources other)
     {
-        return new Amounts(slots - other.slots, cpuMillis - other.cpuMillis, memoryMib - other.memoryMib,
-                accelerators - other.accelerators);
+        return new ComputeResources(slots - other.slots, cpuMillis - other.cpuMillis,
+                memoryMib - other.memoryMib, accelerators - other.accelerators);
     }
 
     /**
      * @param count how many times, not negative
      * @return that many times the amounts
      */
-    public Amounts times(int count)
+    public ComputeResources times(int count)
     {
-        return new Amounts(slots * count, cpuMillis * count, memoryMib * count, accelerators * count);
+        return new ComputeResources(slots * count, cpuMillis * count, memoryMib * count,
+                accelerators * count);
     }
 
     /**
      * @param demand what a task needs
      * @return whether all of it is here
      */
-    public boolean fits(Amounts demand)
+    public boolean fits(ComputeResources demand)
     {
         return slots >= demand.slots && cpuMillis >= demand.cpuMillis && memoryMib >= demand.memoryMib
                 && accelerators >= demand.accelerators;
@@ -71,19 +72,20 @@
      * @param other what is taken away
      * @return the rest
      */
-    public Amounts minusAtMost(Amounts other)
+    public ComputeResources minusClamped(ComputeResources other)
     {
-        return new Amounts(Math.max(0, slots - other.slots), Math.max(0, cpuMillis - other.cpuMillis),
-                Math.max(0, memoryMib - other.memoryMib), Math.max(0, accelerators - other.accelerators));
+        return new ComputeResources(Math.max(0, slots - other.slots),
+                Math.max(0, cpuMillis - other.cpuMillis), Math.max(0, memoryMib - other.memoryMib),
+                Math.max(0, accelerators - other.accelerators));
     }
 
     /**
      * @param other other amounts
      * @return of each amount, the larger one
      */
-    public Amounts most(Amounts other)
+    public ComputeResources max(ComputeResources other)
     {
-        return new Amounts(Math.max(slots, other.slots), Math.max(cpuMillis, other.cpuMillis),
+        return new ComputeResources(Math.max(slots, other.slots), Math.max(cpuMillis, other.cpuMillis),
                 Math.max(memoryMib, other.memoryMib), Math.max(accelerators, other.accelerators));
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/model/Worker.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/Worker.java
@@ -14,6 +14,7 @@
  * @param capacity what it holds
  * @param leaving whether the list says that it is leaving
  */
-public record Worker(String id, String address, String hall, String rack, Amounts capacity, boolean leaving)
+public record Worker(String id, String address, String hall, String rack, ComputeResources capacity,
+        boolean leaving)
 {
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/model/WorkloadSpec.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/WorkloadSpec.java
@@ -14,7 +14,7 @@
  * @param maxBodyBytes the largest body accepted
  * @param path the path asked on the upstream
  */
-public record WorkloadSpec(TaskClass taskClass, Amounts needs, int timeoutMillis, boolean repeatable,
+public record WorkloadSpec(TaskClass taskClass, ComputeResources needs, int timeoutMillis, boolean repeatable,
         int maxBodyBytes, String path)
 {
     /** The largest body any workload may allow. */
@@ -27,10 +27,10 @@
     public WorkloadSpec
     {
         Checks.present(taskClass, "taskClass");
-        needs = needs == null ? new Amounts(1, 0, 0, 0) : needs;
+        needs = needs == null ? new ComputeResources(1, 0, 0, 0) : needs;
         if (needs.slots() == 0)
         {
-            needs = needs.plus(new Amounts(1, 0, 0, 0));
+            needs = needs.plus(new ComputeResources(1, 0, 0, 0));
         }
         timeoutMillis = timeoutMillis == 0 ? DEFAULT_TIMEOUT_MILLIS : timeoutMillis;
         maxBodyBytes = maxBodyBytes == 0 ? DEFAULT_BODY : maxBodyBytes;
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpCaller.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpCaller.java
@@ -70,14 +70,14 @@
     public HttpReply call(HttpMessage request, int timeoutMillis) throws InterruptedException
     {
         long deadline = SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
-        HttpConnection connection = connections.take(timeoutMillis);
+        HttpConnection connection = connections.acquire(timeoutMillis);
         try
         {
             return connection.exchange(request, deadline, LARGEST_ANSWER);
         }
         finally
         {
-            connections.giveBack(connection, true);
+            connections.release(connection, true);
         }
     }
 
@@ -91,19 +91,19 @@
      * @return the answer
      * @throws InterruptedException if the process stops
      */
-    public HttpReply callSlowly(HttpMessage request, int idleMillis, int timeoutMillis)
+    public HttpReply callWithIdleTimeout(HttpMessage request, int idleMillis, int timeoutMillis)
             throws InterruptedException
     {
         long deadline = SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
-        HttpConnection connection = connections.take(idleMillis);
+        HttpConnection connection = connections.acquire(idleMillis);
         try
         {
-            return connection.exchangeSlowly(request, TimeUnit.MILLISECONDS.toNanos(idleMillis), deadline,
-                    LARGEST_ANSWER);
+            return connection.exchangeWithIdleTimeout(request, TimeUnit.MILLISECONDS.toNanos(idleMillis),
+                    deadline, LARGEST_ANSWER);
         }
         finally
         {
-            connections.giveBack(connection, true);
+            connections.release(connection, true);
         }
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpConnection.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpConnection.java
@@ -160,8 +160,8 @@
      * @throws InterruptedException if the process stops
      * @throws GaugehollowException as with {@link #exchange}
      */
-    public HttpReply exchangeSlowly(HttpMessage request, long idleNanos, long deadlineNanos, int maxBody)
-            throws InterruptedException
+    public HttpReply exchangeWithIdleTimeout(HttpMessage request, long idleNanos, long deadlineNanos,
+            int maxBody) throws InterruptedException
     {
         send(request);
         return awaitAnswer(idleNanos, deadlineNanos, maxBody);
@@ -268,7 +268,7 @@
      * @return the bytes, empty when nothing came in time, or null at the end of the stream
      * @throws InterruptedException if the process stops
      */
-    public byte[] nextPiece(long deadlineNanos, boolean keepOnTimeout) throws InterruptedException
+    public byte[] readChunk(long deadlineNanos, boolean keepOnTimeout) throws InterruptedException
     {
         if (keepOnTimeout && !arrives(deadlineNanos))
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpConnectionPool.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpConnectionPool.java
@@ -43,7 +43,7 @@
      * @throws InterruptedException if the process stops
      * @throws org.gaugehollow.model.GaugehollowException if no connection can be opened
      */
-    public HttpConnection take(int connectMillis) throws InterruptedException
+    public HttpConnection acquire(int connectMillis) throws InterruptedException
     {
         HttpConnection kept = takeIdle();
         return kept != null ? kept : HttpConnection.open(loops, target, connectMillis);
@@ -55,7 +55,7 @@
      * @param connection the connection
      * @param keep whether it may carry another request
      */
-    public synchronized void giveBack(HttpConnection connection, boolean keep)
+    public synchronized void release(HttpConnection connection, boolean keep)
     {
         if (keep && !closed && connection.isReusable() && idle.size() < mostIdle)
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpExchange.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpExchange.java
@@ -155,7 +155,7 @@
      * @param reply the reply
      * @throws InterruptedException if the process stops
      */
-    public void respondPartly(HttpReply reply) throws InterruptedException
+    public void respondTruncated(HttpReply reply) throws InterruptedException
     {
         answered = true;
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1,
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/OwnedWorker.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/OwnedWorker.java
@@ -7,7 +7,7 @@
 import java.util.HashMap;
 import java.util.Map;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /** What an engine knows of one worker. Not thread-safe: its engine guards it. */
 final class OwnedWorker
@@ -15,9 +15,9 @@
     private final String id;
     private final Map<String, Placement> running = new HashMap<>();
     private long epoch;
-    private Amounts capacity = Amounts.NONE;
-    private Amounts used = Amounts.NONE;
-    private Amounts foreign = Amounts.NONE;
+    private ComputeResources capacity = ComputeResources.NONE;
+    private ComputeResources used = ComputeResources.NONE;
+    private ComputeResources foreign = ComputeResources.NONE;
     private boolean accepting;
 
     OwnedWorker(String id)
@@ -25,7 +25,8 @@
         this.id = id;
     }
 
-    void update(long newEpoch, Amounts newCapacity, Amounts newForeign, boolean newAccepting)
+    void update(long newEpoch, ComputeResources newCapacity, ComputeResources newForeign,
+            boolean newAccepting)
     {
         epoch = newEpoch;
         capacity = newCapacity;
@@ -50,9 +51,9 @@
         return true;
     }
 
-    Amounts free()
+    ComputeResources free()
     {
-        return capacity.minusAtMost(used).minusAtMost(foreign);
+        return capacity.minusClamped(used).minusClamped(foreign);
     }
 
     String id()
@@ -65,7 +66,7 @@
         return epoch;
     }
 
-    Amounts capacity()
+    ComputeResources capacity()
     {
         return capacity;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PackingFirstScore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PackingFirstScore.java
@@ -4,7 +4,7 @@
  */
 package org.gaugehollow.placement;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /**
  * Rates the worker best that has least left after the task, for work whose packing counts most.
@@ -24,7 +24,7 @@
     private static final int MEMORY_MIB_BESIDE = 8_192;
 
     @Override
-    public double score(Amounts capacity, Amounts free, Amounts demand)
+    public double score(ComputeResources capacity, ComputeResources free, ComputeResources demand)
     {
         double slots = rest(capacity.slots(), free.slots(), demand.slots());
         double cpu = rest(capacity.cpuMillis(), free.cpuMillis(), demand.cpuMillis());
@@ -37,7 +37,7 @@
     }
 
     /** How many more accelerators would be stranded with the task than are without it. */
-    private static int strandedBy(Amounts free, Amounts demand)
+    private static int strandedBy(ComputeResources free, ComputeResources demand)
     {
         if (free.accelerators() == 0)
         {
@@ -46,7 +46,7 @@
         return stranded(free.minus(demand)) - stranded(free);
     }
 
-    private static int stranded(Amounts free)
+    private static int stranded(ComputeResources free)
     {
         int usable = Math.min(free.cpuMillis() / CPU_MILLIS_BESIDE, free.memoryMib() / MEMORY_MIB_BESIDE);
         return Math.max(0, free.accelerators() - usable);
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PlacementEngine.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PlacementEngine.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.locks.ReentrantLock;
 import java.util.function.LongSupplier;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.ResultCode;
 import org.gaugehollow.model.TaskClass;
@@ -34,7 +34,7 @@
     private final ServiceRate rate = new ServiceRate();
     private final EngineLimits limits;
     private final LongSupplier nanoTime;
-    private PolicyBook policies;
+    private PolicyAssignments policies;
     private int batchSlots;
     private int totalSlots;
     private long sequence;
@@ -44,7 +44,7 @@
      * @param policies which policy governs which class
      * @param nanoTime a monotonic clock
      */
-    public PlacementEngine(EngineLimits limits, PolicyBook policies, LongSupplier nanoTime)
+    public PlacementEngine(EngineLimits limits, PolicyAssignments policies, LongSupplier nanoTime)
     {
         this.limits = limits;
         this.policies = policies;
@@ -57,7 +57,7 @@
      *
      * @param book the new policies
      */
-    public void usePolicies(PolicyBook book)
+    public void usePolicies(PolicyAssignments book)
     {
         lock.lock();
         try
@@ -80,7 +80,8 @@
      * @param foreign what still runs there that this box did not start
      * @param accepting whether it may get new work
      */
-    public void putWorker(String worker, long epoch, Amounts capacity, Amounts foreign, boolean accepting)
+    public void putWorker(String worker, long epoch, ComputeResources capacity, ComputeResources foreign,
+            boolean accepting)
     {
         lock.lock();
         try
@@ -225,12 +226,12 @@
     }
 
     /** @return what all accepting workers have free together */
-    public Amounts free()
+    public ComputeResources free()
     {
         lock.lock();
         try
         {
-            Amounts sum = Amounts.NONE;
+            ComputeResources sum = ComputeResources.NONE;
             for (WorkerIndex.State state : index.workers().values())
             {
                 sum = sum.plus(state.free());
@@ -387,7 +388,7 @@
         {
             return Optional.empty();
         }
-        PolicyBook.Named policy = policies.policyFor(demand.taskClass(), demand.task());
+        PolicyAssignments.Named policy = policies.policyFor(demand.taskClass(), demand.task());
         Optional<String> chosen = policy.policy().choose(index, demand.needs());
         if (chosen.isEmpty())
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PlacementPolicy.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PlacementPolicy.java
@@ -6,7 +6,7 @@
 
 import java.util.Optional;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /**
  * Picks the worker for a task. Called under the engine's lock, so it must neither block nor call
@@ -22,5 +22,5 @@
      * @param demand what the task needs
      * @return the worker's id, or empty where none has room
      */
-    Optional<String> choose(WorkerIndex index, Amounts demand);
+    Optional<String> choose(WorkerIndex index, ComputeResources demand);
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PolicyBook.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PolicyAssignments.java
@@ -13,7 +13,7 @@
 /**
  * Which policy governs which class at one configuration revision, comparisons included. Immutable.
  */
-public final class PolicyBook
+public final class PolicyAssignments
 {
     private static final int PERCENT = 100;
 
@@ -48,7 +48,7 @@
      * @param splits the comparison of each class that has one
      * @param fallback the policy of all other classes
      */
-    public PolicyBook(Map<TaskClass, Named> governing, Map<TaskClass, Split> splits, Named fallback)
+    public PolicyAssignments(Map<TaskClass, Named> governing, Map<TaskClass, Split> splits, Named fallback)
     {
         this.governing = new EnumMap<>(TaskClass.class);
         this.governing.putAll(governing);
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/RandomPolicy.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/RandomPolicy.java
@@ -10,7 +10,7 @@
 
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /** A baseline: any worker with room, at random. */
 public final class RandomPolicy implements PlacementPolicy
@@ -26,7 +26,7 @@
     }
 
     @Override
-    public Optional<String> choose(WorkerIndex index, Amounts demand)
+    public Optional<String> choose(WorkerIndex index, ComputeResources demand)
     {
         List<String> fitting = index.workers().entrySet().stream()
                 .filter(e -> e.getValue().free().fits(demand)).map(Map.Entry::getKey).toList();
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/RoundRobinPolicy.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/RoundRobinPolicy.java
@@ -8,7 +8,7 @@
 import java.util.NavigableMap;
 import java.util.Optional;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /** A baseline: the next worker with room after the one taken last. */
 public final class RoundRobinPolicy implements PlacementPolicy
@@ -16,7 +16,7 @@
     private String last = "";
 
     @Override
-    public Optional<String> choose(WorkerIndex index, Amounts demand)
+    public Optional<String> choose(WorkerIndex index, ComputeResources demand)
     {
         NavigableMap<String, WorkerIndex.State> workers = index.workers();
         Optional<String> found = firstFit(workers.tailMap(last, false), demand)
@@ -25,7 +25,7 @@
         return found;
     }
 
-    static Optional<String> firstFit(Map<String, WorkerIndex.State> workers, Amounts demand)
+    static Optional<String> firstFit(Map<String, WorkerIndex.State> workers, ComputeResources demand)
     {
         return workers.entrySet().stream().filter(e -> e.getValue().free().fits(demand))
                 .map(Map.Entry::getKey).findFirst();
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/ScoredPolicy.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/ScoredPolicy.java
@@ -6,7 +6,7 @@
 
 import java.util.Optional;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /** A policy that takes the worker with the lowest score, and of equals the first by id. */
 public final class ScoredPolicy implements PlacementPolicy
@@ -22,7 +22,7 @@
     }
 
     @Override
-    public Optional<String> choose(WorkerIndex index, Amounts demand)
+    public Optional<String> choose(WorkerIndex index, ComputeResources demand)
     {
         String best = null;
         double bestScore = Double.POSITIVE_INFINITY;
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/TaskDemand.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/TaskDemand.java
@@ -4,7 +4,7 @@
  */
 package org.gaugehollow.placement;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.TaskClass;
 
 /**
@@ -19,6 +19,6 @@
  * @param deadlineNanos when its caller stops waiting, on the engine's clock
  */
 public record TaskDemand(String task, TaskClass taskClass, String team, int teamWeight, int teamLimit,
-        Amounts needs, long deadlineNanos)
+        ComputeResources needs, long deadlineNanos)
 {
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/WaitingFirstScore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/WaitingFirstScore.java
@@ -4,7 +4,7 @@
  */
 package org.gaugehollow.placement;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /**
  * Rates the least loaded worker best, for work whose waiting time counts most. Load is the fullest
@@ -16,7 +16,7 @@
 public record WaitingFirstScore(double acceleratorReserve) implements WorkerScore
 {
     @Override
-    public double score(Amounts capacity, Amounts free, Amounts demand)
+    public double score(ComputeResources capacity, ComputeResources free, ComputeResources demand)
     {
         double slots = used(capacity.slots(), free.slots(), demand.slots());
         double cpu = used(capacity.cpuMillis(), free.cpuMillis(), demand.cpuMillis());
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/WorkerIndex.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/WorkerIndex.java
@@ -11,7 +11,7 @@
 import java.util.TreeMap;
 import java.util.TreeSet;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /**
  * The workers that may get work, grouped by what they hold and have free. Workers in the same state
@@ -26,7 +26,7 @@
      * @param capacity what each holds
      * @param free what each has free
      */
-    public record State(Amounts capacity, Amounts free)
+    public record State(ComputeResources capacity, ComputeResources free)
     {
     }
 
@@ -40,7 +40,7 @@
      * @param capacity what it holds
      * @param free what it has free
      */
-    public void put(String worker, Amounts capacity, Amounts free)
+    public void put(String worker, ComputeResources capacity, ComputeResources free)
     {
         remove(worker);
         State state = new State(capacity, free);
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/WorkerScore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/WorkerScore.java
@@ -4,7 +4,7 @@
  */
 package org.gaugehollow.placement;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /** Rates a worker for a task from what it holds and has free. The lowest score wins. */
 @FunctionalInterface
@@ -16,5 +16,5 @@
      * @param demand what the task needs
      * @return the score; lower is better
      */
-    double score(Amounts capacity, Amounts free, Amounts demand);
+    double score(ComputeResources capacity, ComputeResources free, ComputeResources demand);
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/EtcdStore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/EtcdStore.java
@@ -132,7 +132,7 @@
     @Override
     public StoreWatch watch(String prefix, long fromRevision) throws InterruptedException
     {
-        budget.take();
+        budget.acquire();
         ObjectNode request = object();
         request.putObject("create_request").put("key", encode(prefix)).put("range_end", encode(endOf(prefix)))
                 .put("start_revision", Long.toString(fromRevision));
@@ -164,7 +164,7 @@
 
     private JsonNode call(String kind, String path, ObjectNode request) throws InterruptedException
     {
-        budget.take();
+        budget.acquire();
         HttpReply reply;
         try
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/EtcdWatch.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/EtcdWatch.java
@@ -34,7 +34,7 @@
         byte[] piece;
         try
         {
-            piece = connection.nextPiece(SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis),
+            piece = connection.readChunk(SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis),
                     true);
         }
         catch (GaugehollowException e)
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/HttpWorkerRoster.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/HttpWorkerRoster.java
@@ -7,7 +7,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
@@ -90,8 +90,9 @@
         try
         {
             NetAddress.parse(address);
-            Amounts capacity = new Amounts(number(labels, "slots"), number(labels, "cpu_millis"),
-                    number(labels, "memory_mib"), number(labels, "accelerators"));
+            ComputeResources capacity = new ComputeResources(number(labels, "slots"),
+                    number(labels, "cpu_millis"), number(labels, "memory_mib"),
+                    number(labels, "accelerators"));
             return new Worker(text(labels, "worker"), address, text(labels, "hall"), text(labels, "rack"),
                     capacity, "leaving".equals(text(labels, "state")));
         }
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/KeyFollower.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/KeyFollower.java
@@ -32,20 +32,20 @@
          * @param value its value
          * @param revision the revision of the write
          */
-        void put(String key, byte[] value, long revision);
+        void onPut(String key, byte[] value, long revision);
 
         /**
          * @param key a key that is gone
          * @param revision the revision at which it was known to be gone
          */
-        void removed(String key, long revision);
+        void onRemoved(String key, long revision);
 
         /**
          * All keys were delivered as they stood at a revision.
          *
          * @param revision the revision
          */
-        void listed(long revision);
+        void onListed(long revision);
     }
 
     private final PlatformStore store;
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/KeyListing.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/KeyListing.java
@@ -28,18 +28,18 @@
             put(value.key(), value.value(), value.modRevision());
         }
         gone.forEach(key -> remove(key, listing.revision()));
-        listener.listed(listing.revision());
+        listener.onListed(listing.revision());
     }
 
     void put(String key, byte[] value, long revision)
     {
         known.add(key);
-        listener.put(key, value, revision);
+        listener.onPut(key, value, revision);
     }
 
     void remove(String key, long revision)
     {
         known.remove(key);
-        listener.removed(key, revision);
+        listener.onRemoved(key, revision);
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/MonitoredStore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/MonitoredStore.java
@@ -142,7 +142,7 @@
      *
      * @return whether it is silent
      */
-    public synchronized boolean isSilent()
+    public synchronized boolean isUnresponsive()
     {
         if (open > 0 && nanoTime.getAsLong() - unansweredNanos > UNANSWERED_NANOS)
         {
@@ -152,15 +152,15 @@
     }
 
     /** @return how many times the store fell silent since the start */
-    public synchronized long silences()
+    public synchronized long outageCount()
     {
         return silences;
     }
 
     /** @return whether the store answers this box and no call has failed for a while */
-    public synchronized boolean isSteady()
+    public synchronized boolean isStable()
     {
-        return !isSilent() && nanoTime.getAsLong() - failedNanos > STEADY_NANOS;
+        return !isUnresponsive() && nanoTime.getAsLong() - failedNanos > STEADY_NANOS;
     }
 
     @Override
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/StoreBudget.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/StoreBudget.java
@@ -40,7 +40,7 @@
      * @throws GaugehollowException with {@link ResultCode#STORE_BUDGET} if none is left; nothing was
      *             sent
      */
-    public synchronized void take()
+    public synchronized void acquire()
     {
         long now = nanoTime.getAsLong();
         tokens = Math.min(burst, tokens + (now - refilledAt) / NANOS_PER_SECOND * callsPerSecond);
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceBudget.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceBudget.java
@@ -6,7 +6,7 @@
 
 import java.util.Collection;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /**
  * For how many tasks advice is asked for in one round of decisions, so that a long queue does not
@@ -15,23 +15,23 @@
 final class AdviceBudget
 {
     /** Asks for nothing. */
-    static final AdviceBudget NONE = new AdviceBudget(Amounts.NONE, Amounts.NONE);
+    static final AdviceBudget NONE = new AdviceBudget(ComputeResources.NONE, ComputeResources.NONE);
 
-    private Amounts free;
-    private Amounts held;
+    private ComputeResources free;
+    private ComputeResources held;
 
-    private AdviceBudget(Amounts free, Amounts held)
+    private AdviceBudget(ComputeResources free, ComputeResources held)
     {
         this.free = free;
         this.held = held;
     }
 
     /** What workers that accept tasks have free, and what they hold in all. */
-    static AdviceBudget of(Collection<WorkerSlot> workers)
+    static AdviceBudget of(Collection<TrackedWorker> workers)
     {
-        Amounts free = Amounts.NONE;
-        Amounts held = Amounts.NONE;
-        for (WorkerSlot slot : workers)
+        ComputeResources free = ComputeResources.NONE;
+        ComputeResources held = ComputeResources.NONE;
+        for (TrackedWorker slot : workers)
         {
             free = free.plus(slot.free());
             held = held.plus(slot.entry().capacity());
@@ -40,22 +40,22 @@
     }
 
     /** Whether a step may ask because its tasks could start now. */
-    boolean takeForRoom(Step step)
+    boolean acquireForFreeCapacity(Step step)
     {
         boolean fits = free.fits(step.needs());
-        free = fits ? free.minusAtMost(ofWaiting(step)) : free;
+        free = fits ? free.minusClamped(ofWaiting(step)) : free;
         return fits;
     }
 
     /** Whether a step may ask ahead of room that is to come. */
-    boolean takeAhead(Step step)
+    boolean acquireForPrefetch(Step step)
     {
         boolean fits = held.fits(step.needs());
-        held = fits ? held.minusAtMost(ofWaiting(step)) : held;
+        held = fits ? held.minusClamped(ofWaiting(step)) : held;
         return fits;
     }
 
-    private static Amounts ofWaiting(Step step)
+    private static ComputeResources ofWaiting(Step step)
     {
         return step.needs().times(step.waiting().size());
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceDesk.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceCache.java
@@ -20,7 +20,7 @@
  * Keeps the advice service's answers. Which workers may run a step never changes, so only those are
  * asked for again when tickets run out. Guarded by the ledger's monitor.
  */
-final class AdviceDesk implements Planner.Tickets
+final class AdviceCache implements Planner.Tickets
 {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     /** How much before its end a ticket is no longer used, so that a start arrives in time. */
@@ -44,14 +44,14 @@
         private long endNanos = SteadyClock.nanos();
     }
 
-    private final Ledger ledger;
-    private final AdviceLines lines;
+    private final CellState ledger;
+    private final AdviceDispatcher lines;
     private final Runnable onAnswer;
     private final Map<String, StepAdvice> steps = new HashMap<>();
 
     private volatile boolean closed;
 
-    AdviceDesk(Ledger ledger, AdviceLines lines, Runnable onAnswer)
+    AdviceCache(CellState ledger, AdviceDispatcher lines, Runnable onAnswer)
     {
         this.ledger = ledger;
         this.lines = lines;
@@ -59,7 +59,7 @@
     }
 
     @Override
-    public Optional<String> ticket(Step step, WorkerSlot slot)
+    public Optional<String> ticket(Step step, TrackedWorker slot)
     {
         StepAdvice advice = steps.get(step.name());
         HeldTicket held = advice == null ? null : advice.healthy.get(slot.id());
@@ -68,14 +68,14 @@
     }
 
     @Override
-    public boolean isBarred(Step step, WorkerSlot slot)
+    public boolean isDenied(Step step, TrackedWorker slot)
     {
         StepAdvice advice = steps.get(step.name());
         return advice != null && advice.asked.contains(slot.id()) && !advice.healthy.containsKey(slot.id());
     }
 
     @Override
-    public boolean isAllowed(Step step, WorkerSlot slot)
+    public boolean isAllowed(Step step, TrackedWorker slot)
     {
         StepAdvice advice = steps.get(step.name());
         boolean free = step.job().queue().adviceIfNeeded().isEmpty();
@@ -96,7 +96,7 @@
     }
 
     /** A worker turned a ticket down. */
-    void drop(Step step, WorkerSlot slot)
+    void drop(Step step, TrackedWorker slot)
     {
         StepAdvice advice = steps.get(step.name());
         if (advice != null && advice.healthy.containsKey(slot.id()))
@@ -130,7 +130,7 @@
         {
             return;
         }
-        List<WorkerSlot> workers = workersToAsk(step, advice);
+        List<TrackedWorker> workers = workersToAsk(step, advice);
         if (workers.isEmpty())
         {
             return;
@@ -140,25 +140,27 @@
         Thread.ofVirtual().name("advice-" + step.name()).start(() -> ask(step, advice, workers, spec));
     }
 
-    private List<WorkerSlot> workersToAsk(Step step, StepAdvice advice)
+    private List<TrackedWorker> workersToAsk(Step step, StepAdvice advice)
     {
-        List<WorkerSlot> workers = new ArrayList<>();
-        for (WorkerSlot slot : ledger.workers())
+        List<TrackedWorker> workers = new ArrayList<>();
+        for (TrackedWorker slot : ledger.workers())
         {
-            boolean service = slot.accepts() && slot.entry().service().equals(step.job().queue().service());
-            if (service && step.hasLabel(slot.entry()) && !isBarred(step, slot))
+            boolean service = slot.acceptsStarts()
+                    && slot.entry().service().equals(step.job().queue().service());
+            if (service && step.hasLabel(slot.entry()) && !isDenied(step, slot))
             {
                 workers.add(slot);
             }
         }
-        return new AdviceQuestion(step, advice.healthy.keySet()).choose(workers);
+        return new AdviceCandidates(step, advice.healthy.keySet()).choose(workers);
     }
 
-    private void ask(Step step, StepAdvice advice, List<WorkerSlot> workers, AdviceSpec spec)
+    private void ask(Step step, StepAdvice advice, List<TrackedWorker> workers, AdviceSpec spec)
     {
-        List<String> ids = workers.stream().map(WorkerSlot::worker).toList();
-        AdviceLines.Call call = new AdviceLines.Call(step.name(), ids, spec.expectedMillis(workers.size()),
-                step.job().queue().priority(), step.job().acceptedRevision());
+        List<String> ids = workers.stream().map(TrackedWorker::worker).toList();
+        AdviceDispatcher.Call call = new AdviceDispatcher.Call(step.name(), ids,
+                spec.expectedMillis(workers.size()), step.job().queue().priority(),
+                step.job().acceptedRevision());
         Optional<Advice> answer = Optional.empty();
         try
         {
@@ -184,7 +186,7 @@
     }
 
     /** What the service says of a worker holds for its present life alone. */
-    private static void take(StepAdvice advice, List<WorkerSlot> workers, Optional<Advice> answer,
+    private static void take(StepAdvice advice, List<TrackedWorker> workers, Optional<Advice> answer,
             AdviceSpec spec)
     {
         long now = SteadyClock.nanos();
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceQuestion.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceCandidates.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Set;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /**
  * Decides which workers a call for advice asks about. Answers the load of a busy cell, in which few
@@ -20,7 +20,7 @@
  * same ones; and only as many as the waiting tasks should need. On a played day with 245 workers 95
  * of 100 jobs had their first start within 2.7 s in place of 20.3 s (one run each).
  */
-final class AdviceQuestion
+final class AdviceCandidates
 {
     /** The users count one call on so many workers into a step's objective. */
     private static final int FEWEST = 30;
@@ -38,7 +38,7 @@
      * @param step the step
      * @param healthy the lives of workers that are known to be allowed for it
      */
-    AdviceQuestion(Step step, Set<String> healthy)
+    AdviceCandidates(Step step, Set<String> healthy)
     {
         this.step = step;
         this.healthy = healthy;
@@ -47,7 +47,7 @@
     /**
      * A worker, how many of the step's tasks it has room for now, and its place in the step's order.
      */
-    private record Candidate(WorkerSlot slot, int room, int place)
+    private record Candidate(TrackedWorker slot, int room, int place)
     {
     }
 
@@ -55,10 +55,10 @@
      * @param workers workers that may be asked about
      * @return those that are
      */
-    List<WorkerSlot> choose(Collection<WorkerSlot> workers)
+    List<TrackedWorker> choose(Collection<TrackedWorker> workers)
     {
         List<Candidate> candidates = new ArrayList<>();
-        for (WorkerSlot slot : workers)
+        for (TrackedWorker slot : workers)
         {
             candidates.add(new Candidate(slot, room(slot), (step.name() + slot.id()).hashCode()));
         }
@@ -69,11 +69,11 @@
         return takeEnough(candidates);
     }
 
-    private List<WorkerSlot> takeEnough(List<Candidate> candidates)
+    private List<TrackedWorker> takeEnough(List<Candidate> candidates)
     {
         double wanted = step.waiting().size() * SPARE;
         double expected = 0;
-        List<WorkerSlot> chosen = new ArrayList<>();
+        List<TrackedWorker> chosen = new ArrayList<>();
         for (Candidate candidate : candidates)
         {
             boolean enough = expected >= wanted && chosen.size() >= FEWEST;
@@ -81,7 +81,7 @@
             {
                 return chosen;
             }
-            WorkerSlot slot = candidate.slot();
+            TrackedWorker slot = candidate.slot();
             chosen.add(slot);
             // where none has room yet, each will have some in time
             expected += Math.max(1, candidate.room()) * (healthy.contains(slot.id()) ? 1 : LIKELY_SHARE);
@@ -89,16 +89,16 @@
         return chosen;
     }
 
-    private boolean isNear(WorkerSlot slot)
+    private boolean isNear(TrackedWorker slot)
     {
         String rack = step.spec().affinity();
         return rack != null && rack.equals(slot.entry().rack());
     }
 
     /** How many tasks of the step a worker has room for now. */
-    private int room(WorkerSlot slot)
+    private int room(TrackedWorker slot)
     {
-        Amounts needs = step.needs();
+        ComputeResources needs = step.needs();
         int most = step.spec().antiAffinity() > 0 ? step.spec().antiAffinity() : step.waiting().size();
         int count = 0;
         while (count < most && slot.free().fits(needs.times(count + 1)))
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceLines.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceDispatcher.java
@@ -24,7 +24,7 @@
  * line carries one call at a time and the others wait here, the most urgent first. The owner's own
  * line is kept for short calls, so that urgent work never waits behind a long one.
  */
-public final class AdviceLines
+public final class AdviceDispatcher
 {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long FAULT_MILLIS = 1_000;
@@ -79,7 +79,7 @@
      * @param own this box's line
      * @param events where faults of lines are recorded
      */
-    public AdviceLines(AdvicePort own, EventLog events)
+    public AdviceDispatcher(AdvicePort own, EventLog events)
     {
         this.events = events;
         lines.put("", new Line(own, true));
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/RoomReservations.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/CapacityReservations.java
@@ -7,17 +7,17 @@
 import java.util.ArrayList;
 import java.util.List;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /**
  * Room on workers that is kept for tasks whose start is near: the runs in their way end soon or
  * were stopped for them. Without it the room that comes free piece by piece would go to smaller
  * tasks. Guarded by the ledger's monitor.
  */
-final class RoomReservations
+final class CapacityReservations
 {
     /** Room for one task of a step. */
-    private record Reservation(Step step, WorkerSlot slot, long endNanos)
+    private record Reservation(Step step, TrackedWorker slot, long endNanos)
     {
         /** Whether another step has to leave this room alone; more urgent queues need not. */
         boolean binds(Step other)
@@ -29,20 +29,20 @@
     private final List<Reservation> reservations = new ArrayList<>();
 
     /** Keeps room for one more task of a step until then at the latest. */
-    void add(Step step, WorkerSlot slot, long endNanos)
+    void add(Step step, TrackedWorker slot, long endNanos)
     {
         reservations.add(new Reservation(step, slot, endNanos));
     }
 
     /** Drops what has run out, and what its job or its worker has no use for any more. */
-    void dropOld(long nowNanos)
+    void removeExpired(long nowNanos)
     {
         reservations.removeIf(reservation -> nowNanos - reservation.endNanos >= 0
-                || !reservation.slot.accepts() || reservation.step.job().state().isFinal());
+                || !reservation.slot.acceptsStarts() || reservation.step.job().state().isFinal());
     }
 
     /** A task of a step was started on a worker: one of the step's reservations is used up. */
-    void use(Step step, WorkerSlot slot)
+    void use(Step step, TrackedWorker slot)
     {
         if (!dropOne(step, slot))
         {
@@ -50,7 +50,7 @@
         }
     }
 
-    private boolean dropOne(Step step, WorkerSlot slot)
+    private boolean dropOne(Step step, TrackedWorker slot)
     {
         for (Reservation reservation : reservations)
         {
@@ -81,16 +81,16 @@
     }
 
     /** How many tasks of a step have room kept for them on a worker. */
-    int countOf(Step step, WorkerSlot slot)
+    int countOf(Step step, TrackedWorker slot)
     {
         return (int) reservations.stream()
                 .filter(reservation -> reservation.step == step && reservation.slot == slot).count();
     }
 
     /** What a step has to leave alone on a worker. */
-    Amounts keptFrom(Step step, WorkerSlot slot)
+    ComputeResources reservedAgainst(Step step, TrackedWorker slot)
     {
-        Amounts sum = Amounts.NONE;
+        ComputeResources sum = ComputeResources.NONE;
         for (Reservation reservation : reservations)
         {
             if (reservation.slot == slot && reservation.binds(step))
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Ledger.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/CellState.java
@@ -20,9 +20,9 @@
 import org.gaugehollow.job.JobProgress;
 import org.gaugehollow.job.JobRecord;
 import org.gaugehollow.job.JobState;
-import org.gaugehollow.worker.HoldAnswer;
-import org.gaugehollow.worker.HoldAnswer.EndedRun;
-import org.gaugehollow.worker.HoldAnswer.RunningRun;
+import org.gaugehollow.worker.HeartbeatReply;
+import org.gaugehollow.worker.HeartbeatReply.EndedRun;
+import org.gaugehollow.worker.HeartbeatReply.RunningRun;
 import org.gaugehollow.worker.WorkerEntry;
 
 /**
@@ -30,7 +30,7 @@
  * returns what has to be sent and written. Every method must be called by a thread that holds the
  * ledger's monitor.
  */
-final class Ledger
+final class CellState
 {
     /** A worker lists at most this many ends at once; a full list may hide others. */
     private static final int MOST_ENDS = 500;
@@ -38,9 +38,9 @@
     private final LongSupplier nanoTime;
     private final Map<String, Job> jobs = new HashMap<>();
     private final RetiredJobs retired;
-    private final WorkerSlots workers;
+    private final TrackedWorkers workers;
     private final CrashGuard crashGuard;
-    private final RunEnds runEnds;
+    private final RunEndHandler runEnds;
     private final JobRestoration restoration;
     private final WeightRates rates = new WeightRates();
     /** Accepted since jobs had their turns last, not rated yet. */
@@ -52,20 +52,20 @@
      * @param unknownLeaseNanos how long after now a worker that cannot be reached may still run what an
      *            earlier owner started
      */
-    Ledger(LongSupplier nanoTime, long unknownLeaseNanos)
+    CellState(LongSupplier nanoTime, long unknownLeaseNanos)
     {
         this.nanoTime = nanoTime;
         this.retired = new RetiredJobs(nanoTime);
-        this.workers = new WorkerSlots(nanoTime, unknownLeaseNanos);
+        this.workers = new TrackedWorkers(nanoTime, unknownLeaseNanos);
         this.crashGuard = new CrashGuard(workers);
-        this.runEnds = new RunEnds(this, nanoTime);
+        this.runEnds = new RunEndHandler(this, nanoTime);
         this.restoration = new JobRestoration(workers, crashGuard, nanoTime);
     }
 
     /** Whether a job was read, be it over or not. */
     boolean knows(String job)
     {
-        return jobs.containsKey(job) || retired.isOver(job);
+        return jobs.containsKey(job) || retired.isFinished(job);
     }
 
     /** Adds an accepted job; one that is known already is left as it is. */
@@ -76,7 +76,7 @@
         {
             return effects;
         }
-        boolean isOver = record.over() || progress != null && progress.state().isFinal();
+        boolean isOver = record.hasEnded() || progress != null && progress.state().isFinal();
         if (isOver)
         {
             acceptOver(record, revision, progress, effects);
@@ -90,7 +90,7 @@
         }
         jobs.put(job.id(), job);
         fresh.add(job);
-        if (retired.takeCancellation(job.id()).filter(c -> c.concerns(record)).isPresent())
+        if (retired.takeCancellation(job.id()).filter(c -> c.appliesTo(record)).isPresent())
         {
             finish(job, JobState.CANCELLED, effects);
         }
@@ -110,7 +110,7 @@
      */
     private void acceptOver(JobRecord record, long revision, JobProgress progress, Effects effects)
     {
-        if (record.over() || progress.rounds() == null)
+        if (record.hasEnded() || progress.rounds() == null)
         {
             retired.add(record.id());
             return;
@@ -131,7 +131,7 @@
         {
             retired.cancelEarly(id, cancellation);
         }
-        else if (job != null && cancellation.concerns(job.record()))
+        else if (job != null && cancellation.appliesTo(job.record()))
         {
             finish(job, JobState.CANCELLED, effects);
         }
@@ -176,7 +176,7 @@
     }
 
     /** Drops a job of which nothing is left to do or to write: ends of its runs are then ignored. */
-    void dropIfOver(Job job)
+    void dropIfFinished(Job job)
     {
         if (job.isFinished() && !job.isUnwritten())
         {
@@ -199,36 +199,36 @@
     }
 
     /** A worker's life is over or its lease has surely lapsed: nothing runs there any more. */
-    Effects lost(WorkerSlot slot, WorkerEnd end)
+    Effects onWorkerLost(TrackedWorker slot, WorkerLossCause end)
     {
         Effects effects = new Effects();
-        slot.setHeld(false);
-        slot.clearForeignRuns();
-        List<Task> guilty = crashGuard.ended(slot, end, effects);
+        slot.setLeaseHeld(false);
+        slot.clearOrphanRuns();
+        List<Task> guilty = crashGuard.onWorkerLost(slot, end, effects);
         for (Task task : slot.tasks())
         {
-            effects.lost(task, slot, end);
+            effects.addLostRun(task, slot, end);
             releaseLost(task, effects);
         }
         guilty.forEach(task -> giveUp(task, effects));
-        giveUpHarmful(effects);
+        failPoisonTasks(effects);
         return effects;
     }
 
     /** Gives up the tasks that turn out to crash their workers. */
-    Effects giveUpHarmful()
+    Effects failPoisonTasks()
     {
         Effects effects = new Effects();
-        giveUpHarmful(effects);
+        failPoisonTasks(effects);
         return effects;
     }
 
     /** One task that is given up explains crashes of others, which may clear them. */
-    private void giveUpHarmful(Effects effects)
+    private void failPoisonTasks(Effects effects)
     {
         for (Task task : crashGuard.check())
         {
-            if (crashGuard.isGuilty(task))
+            if (crashGuard.isPoison(task))
             {
                 giveUp(task, effects);
             }
@@ -240,7 +240,7 @@
         if (!task.step().job().state().isFinal())
         {
             effects.givenUp(task);
-            crashGuard.convicted(task);
+            crashGuard.confirmPoison(task);
             finish(task.step().job(), JobState.FAILED, effects);
         }
     }
@@ -282,22 +282,22 @@
      * @param sentNanos when the look was sent
      * @return what changed
      */
-    Effects look(WorkerSlot slot, HoldAnswer answer, long lastSeen, long sentNanos)
+    Effects applyHeartbeat(TrackedWorker slot, HeartbeatReply answer, long lastSeen, long sentNanos)
     {
         Effects effects = new Effects();
         long now = nanoTime.getAsLong();
         slot.readClock(answer.clockMillis(), now);
-        slot.looked(now);
-        crashGuard.answered(slot);
+        slot.recordHeartbeat(now);
+        crashGuard.onWorkerResponded(slot);
         for (EndedRun end : answer.ended())
         {
             if (end.number() > lastSeen)
             {
-                runEnds.take(slot, end, effects);
+                runEnds.handle(slot, end, effects);
             }
         }
         Set<Task> present = new HashSet<>();
-        slot.clearForeignRuns();
+        slot.clearOrphanRuns();
         for (RunningRun run : answer.running())
         {
             running(slot, run, present, effects);
@@ -309,12 +309,12 @@
         return effects;
     }
 
-    private void running(WorkerSlot slot, RunningRun run, Set<Task> present, Effects effects)
+    private void running(TrackedWorker slot, RunningRun run, Set<Task> present, Effects effects)
     {
         Task task = find(run.task());
         if (task == null || !task.isAt(slot, run.run()))
         {
-            slot.addForeignRun(task == null ? null : task.step());
+            slot.addOrphanRun(task == null ? null : task.step());
             effects.stopUnknown(slot, run.task(), run.run());
             return;
         }
@@ -338,7 +338,7 @@
         }
     }
 
-    private void releaseMissing(WorkerSlot slot, Set<Task> present, long sentNanos, Effects effects)
+    private void releaseMissing(TrackedWorker slot, Set<Task> present, long sentNanos, Effects effects)
     {
         for (Task task : slot.tasks())
         {
@@ -367,10 +367,10 @@
     }
 
     /** The priority of the least urgent queue that has tasks on workers; 0 goes first. */
-    int leastUrgentAtWork()
+    int leastUrgentRunning()
     {
         int least = 0;
-        for (WorkerSlot slot : workers.all())
+        for (TrackedWorker slot : workers.all())
         {
             for (Task task : slot.tasks())
             {
@@ -401,23 +401,23 @@
     }
 
     /** The workers, listed or not. */
-    WorkerSlots slots()
+    TrackedWorkers slots()
     {
         return workers;
     }
 
-    Collection<WorkerSlot> workers()
+    Collection<TrackedWorker> workers()
     {
         return workers.all();
     }
 
     /** Takes a worker's newest entry; returns its slot. */
-    WorkerSlot list(WorkerEntry entry)
+    TrackedWorker list(WorkerEntry entry)
     {
         return workers.list(entry);
     }
 
-    Optional<WorkerSlot> worker(String id)
+    Optional<TrackedWorker> worker(String id)
     {
         return workers.find(id);
     }
