--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/CrashGuard.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/CrashGuard.java
@@ -13,8 +13,8 @@
 import java.util.Set;
 
 import org.gaugehollow.job.CrashHistory;
+import org.gaugehollow.job.CrashHistory.Attribution;
 import org.gaugehollow.job.CrashHistory.Crash;
-import org.gaugehollow.job.CrashHistory.Evidence;
 
 /**
  * Finds the tasks that crash the workers that start them, and gives them up. Without it one such
@@ -49,19 +49,19 @@
     /** A run that was seen at work for so long, in milliseconds, clears its task of all suspicion. */
     static final long CLEARED_MILLIS = 10_000;
 
-    private final WorkerSlots workers;
-    private final CrashMoments moments;
+    private final TrackedWorkers workers;
+    private final RecentCrashes moments;
     /** The tasks with a history, until they are cleared or their jobs are over. */
     private final Set<Task> tracked = new LinkedHashSet<>();
 
-    CrashGuard(WorkerSlots workers)
+    CrashGuard(TrackedWorkers workers)
     {
         this.workers = workers;
-        this.moments = new CrashMoments(workers);
+        this.moments = new RecentCrashes(workers);
     }
 
     /** Follows a task that an earlier owner has recorded with a history. */
-    void restored(Task task)
+    void onTaskRestored(Task task)
     {
         if (!task.crashes().isEmpty())
         {
@@ -70,26 +70,26 @@
     }
 
     /** Whether a run may be left on a silent worker for another copy: one unproven crash at a time. */
-    boolean mayLeave(Task task, WorkerSlot slot)
+    boolean mayAbandonRun(Task task, TrackedWorker slot)
     {
-        return task.crashes().isEmpty() || !SilentRun.of(task, slot).hadJustBegun();
+        return task.crashes().isEmpty() || !UnresponsiveRun.of(task, slot).hadJustStarted();
     }
 
     /** A run is left on a silent worker, and another copy may start elsewhere. */
-    void left(Task task, WorkerSlot slot)
+    void onRunAbandoned(Task task, TrackedWorker slot)
     {
-        SilentRun run = SilentRun.of(task, slot);
-        slot.leave(run);
-        if (run.hadJustBegun())
+        UnresponsiveRun run = UnresponsiveRun.of(task, slot);
+        slot.addAbandonedRun(run);
+        if (run.hadJustStarted())
         {
-            note(task, slot, Evidence.UNPROVEN);
+            note(task, slot, Attribution.UNPROVEN);
         }
     }
 
     /** A worker answers, so it has not crashed. */
-    void answered(WorkerSlot slot)
+    void onWorkerResponded(TrackedWorker slot)
     {
-        slot.takeLeftRuns().forEach(run -> acquit(run.task(), slot));
+        slot.removeAbandonedRuns().forEach(run -> acquit(run.task(), slot));
     }
 
     /**
@@ -97,7 +97,7 @@
      *
      * @return the tasks that surely crash their workers; the others are judged once these are given up
      */
-    List<Task> ended(WorkerSlot slot, WorkerEnd end, Effects effects)
+    List<Task> onWorkerLost(TrackedWorker slot, WorkerLossCause end, Effects effects)
     {
         return switch (end)
         {
@@ -107,7 +107,7 @@
                 yield List.of();
             }
             case LEFT -> {
-                answered(slot);
+                onWorkerResponded(slot);
                 yield List.of();
             }
         };
@@ -119,24 +119,24 @@
      * in a simulated cell of three workers with a harmful task each five seconds. Nor is it blamed
      * where several workers crash together.
      */
-    private List<Task> crashed(WorkerSlot slot, Effects effects)
+    private List<Task> crashed(TrackedWorker slot, Effects effects)
     {
-        List<SilentRun> runs = slot.takeLeftRuns();
+        List<UnresponsiveRun> runs = slot.removeAbandonedRuns();
         runs.removeIf(run -> run.task().phase() == Task.Phase.DONE);
         runs.forEach(run -> effects.changed(run.task().step().job()));
         runs.addAll(runsOn(slot));
-        boolean isOneOfMany = moments.isOneOfMany(slot);
+        boolean isOneOfMany = moments.isCorrelated(slot);
         moments.add(slot);
-        long justBegun = runs.stream().filter(SilentRun::hadJustBegun).count();
+        long justBegun = runs.stream().filter(UnresponsiveRun::hadJustStarted).count();
         List<Task> guilty = new ArrayList<>();
-        for (SilentRun run : runs)
+        for (UnresponsiveRun run : runs)
         {
-            boolean isBlamed = run.hadJustBegun() || justBegun == 0 && !isOneOfMany;
+            boolean isBlamed = run.hadJustStarted() || justBegun == 0 && !isOneOfMany;
             if (isBlamed && run.lastedMillis() < CLEARED_MILLIS)
             {
-                note(run.task(), slot, run.evidence());
+                note(run.task(), slot, run.attribution());
             }
-            boolean isAlone = run.hadJustBegun() && justBegun == 1;
+            boolean isAlone = run.hadJustStarted() && justBegun == 1;
             if (isProven(run.task()) || isAlone && isRepeated(run.task()))
             {
                 guilty.add(run.task());
@@ -145,20 +145,20 @@
         return guilty;
     }
 
-    private void lapsed(WorkerSlot slot)
+    private void lapsed(TrackedWorker slot)
     {
-        runsOn(slot).stream().filter(SilentRun::hadJustBegun)
-                .forEach(run -> note(run.task(), slot, Evidence.UNPROVEN));
+        runsOn(slot).stream().filter(UnresponsiveRun::hadJustStarted)
+                .forEach(run -> note(run.task(), slot, Attribution.UNPROVEN));
     }
 
     /** The runs that may have begun on a worker and were not left there. */
-    private static List<SilentRun> runsOn(WorkerSlot slot)
+    private static List<UnresponsiveRun> runsOn(TrackedWorker slot)
     {
-        return slot.tasks().stream().filter(Task::mayHaveBegun).map(task -> SilentRun.of(task, slot))
+        return slot.tasks().stream().filter(Task::mayHaveBegun).map(task -> UnresponsiveRun.of(task, slot))
                 .toList();
     }
 
-    private void note(Task task, WorkerSlot slot, Evidence evidence)
+    private void note(Task task, TrackedWorker slot, Attribution evidence)
     {
         if (!task.step().job().state().isFinal())
         {
@@ -167,7 +167,7 @@
         }
     }
 
-    private static void acquit(Task task, WorkerSlot slot)
+    private static void acquit(Task task, TrackedWorker slot)
     {
         task.setCrashes(task.crashes().without(slot.id()));
     }
@@ -175,7 +175,7 @@
     /** Whether enough workers have crashed under a task, if nothing else had just begun there. */
     private static boolean isRepeated(Task task)
     {
-        return task.crashes().count(Evidence.AT_START) >= FEWEST_CRASHES;
+        return task.crashes().count(Attribution.AT_START) >= FEWEST_CRASHES;
     }
 
     /** Whether enough workers have crashed under a task, whatever else had begun there. */
@@ -186,11 +186,11 @@
 
     private static int provenCrashes(Task task)
     {
-        return task.crashes().count(Evidence.AT_START) + task.crashes().count(Evidence.LATER);
+        return task.crashes().count(Attribution.AT_START) + task.crashes().count(Attribution.LATER);
     }
 
     /** Whether so many workers have crashed, or may have, that their number is enough. */
-    boolean isGuilty(Task task)
+    boolean isPoison(Task task)
     {
         return isProven(task)
                 || task.crashes().crashes().stream().filter(this::counts).count() >= MOST_IN_ALL;
@@ -200,18 +200,18 @@
     private boolean counts(Crash crash)
     {
         boolean isListed = workers.find(crash.worker()).map(slot -> slot.entry() != null).orElse(false);
-        return crash.evidence() != Evidence.UNPROVEN || !isListed;
+        return crash.evidence() != Attribution.UNPROVEN || !isListed;
     }
 
     /** A task is given up: the others that had runs on the workers that it crashed did not do it. */
-    void convicted(Task task)
+    void confirmPoison(Task task)
     {
         Set<String> its = task.crashes().proven();
         for (Task other : tracked)
         {
             if (other != task)
             {
-                other.setCrashes(other.crashes().explained(its));
+                other.setCrashes(other.crashes().withExplained(its));
             }
         }
     }
@@ -237,7 +237,7 @@
             {
                 all.remove();
             }
-            else if (task.phase() == Task.Phase.WAITING && isGuilty(task))
+            else if (task.phase() == Task.Phase.WAITING && isPoison(task))
             {
                 guilty.add(task);
             }
@@ -247,12 +247,12 @@
     }
 
     /** The workers on which a suspect has not outlived its start yet; nothing else begins there. */
-    Set<WorkerSlot> trials()
+    Set<TrackedWorker> isolationWorkers()
     {
-        Set<WorkerSlot> slots = new HashSet<>();
+        Set<TrackedWorker> slots = new HashSet<>();
         for (Task task : tracked)
         {
-            if (task.isOnTrial())
+            if (task.isIsolated())
             {
                 slots.add(task.worker());
             }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Effects.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Effects.java
@@ -22,7 +22,7 @@
      * @param run the run
      * @param task the task, or null where the ledger does not know the run
      */
-    record Stop(WorkerSlot slot, String taskName, int run, Task task)
+    record Stop(TrackedWorker slot, String taskName, int run, Task task)
     {
     }
 
@@ -35,7 +35,7 @@
      * @param end how it is known
      * @param seenMillis how long the run was seen at work, in milliseconds
      */
-    record LostRun(String task, int run, String worker, WorkerEnd end, long seenMillis)
+    record LostRun(String task, int run, String worker, WorkerLossCause end, long seenMillis)
     {
     }
 
@@ -45,14 +45,14 @@
      * @param task the task's full name
      * @param crashes the workers that crashed under it
      */
-    record GivenUp(String task, CrashHistory crashes)
+    record PoisonTask(String task, CrashHistory crashes)
     {
     }
 
     private final Set<Job> changed = new LinkedHashSet<>();
     private final List<Stop> stops = new ArrayList<>();
     private final List<LostRun> lostRuns = new ArrayList<>();
-    private final List<GivenUp> givenUp = new ArrayList<>();
+    private final List<PoisonTask> givenUp = new ArrayList<>();
 
     /** A job's progress has changed. */
     void changed(Job job)
@@ -73,13 +73,13 @@
         stops.add(new Stop(task.worker(), task.name(), task.run(), task));
     }
 
-    void stopUnknown(WorkerSlot slot, String taskName, int run)
+    void stopUnknown(TrackedWorker slot, String taskName, int run)
     {
         stops.add(new Stop(slot, taskName, run, null));
     }
 
     /** A task's run is over with its worker. */
-    void lost(Task task, WorkerSlot slot, WorkerEnd end)
+    void addLostRun(Task task, TrackedWorker slot, WorkerLossCause end)
     {
         lostRuns.add(new LostRun(task.name(), task.run(), slot.id(), end, task.seenMillis()));
     }
@@ -98,10 +98,10 @@
     /** A task is given up for the workers that crashed under it. */
     void givenUp(Task task)
     {
-        givenUp.add(new GivenUp(task.name(), task.crashes()));
+        givenUp.add(new PoisonTask(task.name(), task.crashes()));
     }
 
-    List<GivenUp> givenUp()
+    List<PoisonTask> givenUp()
     {
         return givenUp;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Evacuation.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Evacuation.java
@@ -14,9 +14,9 @@
 {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    private final Ledger ledger;
+    private final CellState ledger;
 
-    Evacuation(Ledger ledger)
+    Evacuation(CellState ledger)
     {
         this.ledger = ledger;
     }
@@ -25,7 +25,7 @@
     Effects evacuate(long nowNanos)
     {
         Effects effects = new Effects();
-        for (WorkerSlot slot : ledger.workers())
+        for (TrackedWorker slot : ledger.workers())
         {
             WorkerEntry entry = slot.entry();
             if (entry != null && entry.draining())
@@ -36,7 +36,7 @@
         return effects;
     }
 
-    private static boolean mustMove(Task task, WorkerSlot slot, long nowNanos)
+    private static boolean mustMove(Task task, TrackedWorker slot, long nowNanos)
     {
         if (task.phase() != Task.Phase.RUNNING || task.step().spec().gang())
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/LapsingWorkers.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/ExpiringLeases.java
@@ -36,7 +36,7 @@
  * after, until the store has taken the worker out again. The record holds for the term that wrote
  * it and for the one that follows directly.
  */
-final class LapsingWorkers implements SupervisedTask
+final class ExpiringLeases implements SupervisedTask
 {
     /**
      * How long a worker has not answered when it is recorded. A look over a new connection is answered
@@ -54,7 +54,7 @@
     private static final long RETRY_MILLIS = 60;
 
     private final PlatformStore store;
-    private final Ledger ledger;
+    private final CellState ledger;
     private final OwnerLease owner;
     private final EventLog events;
     private final Semaphore wakeUps = new Semaphore(0);
@@ -83,7 +83,7 @@
      * @param owner this box's ownership, under which it writes
      * @param events where each write is recorded
      */
-    LapsingWorkers(PlatformStore store, Ledger ledger, OwnerLease owner, EventLog events)
+    ExpiringLeases(PlatformStore store, CellState ledger, OwnerLease owner, EventLog events)
     {
         this.store = store;
         this.ledger = ledger;
@@ -94,11 +94,11 @@
     /** Reads what the owner before recorded; comes before jobs and workers are known. */
     void read() throws InterruptedException
     {
-        while (!owner.isOver())
+        while (!owner.hasEnded())
         {
             try
             {
-                HedgedCall.read(() -> store.get(JobKeys.LAPSING)).ifPresent(this::takeOver);
+                HedgedCall.read(() -> store.get(JobKeys.EXPIRING_LEASES)).ifPresent(this::takeOver);
                 return;
             }
             catch (GaugehollowException e)
@@ -126,7 +126,7 @@
         settled = false;
         synchronized (ledger)
         {
-            ledger.slots().expectLapsing(leaseEnds);
+            ledger.slots().restoreExpiringLeases(leaseEnds);
         }
         events.record(EventType.LAPSING_RECORDED, owner.box(), "taken over: " + found.millisLeft());
     }
@@ -153,7 +153,7 @@
     @Override
     public void run() throws InterruptedException
     {
-        while (!owner.isOver())
+        while (!owner.hasEnded())
         {
             synchronized (ledger)
             {
@@ -177,12 +177,12 @@
         {
             return;
         }
-        for (WorkerSlot slot : ledger.workers())
+        for (TrackedWorker slot : ledger.workers())
         {
             boolean isNew = !leaseEnds.containsKey(slot.id());
-            if (isNew && !slot.isIdle() && slot.isSilentFor(SILENCE_NANOS, now))
+            if (isNew && !slot.isIdle() && slot.isUnresponsiveFor(SILENCE_NANOS, now))
             {
-                ledger.slots().letLapse(slot);
+                ledger.slots().stopLeaseRenewal(slot);
                 leaseEnds.put(slot.id(), slot.leaseEndNanos());
             }
         }
@@ -192,7 +192,7 @@
     {
         leaseEnds.entrySet().removeIf(entry ->
         {
-            boolean answers = ledger.worker(entry.getKey()).map(WorkerSlot::answers).orElse(false);
+            boolean answers = ledger.worker(entry.getKey()).map(TrackedWorker::isResponsive).orElse(false);
             return answers || now - entry.getValue() > KEEP_NANOS;
         });
     }
@@ -230,14 +230,15 @@
         leaseEnds.forEach(
                 (id, end) -> millisLeft.put(id, Math.max(0, TimeUnit.NANOSECONDS.toMillis(end - now) + 1)));
         return new StoreTransaction().require(JobKeys.OWNER, owner.ownerRevision())
-                .require(JobKeys.LAPSING, revision)
-                .put(JobKeys.LAPSING, Json.write(new LeaseRecord(owner.fence(), millisLeft)));
+                .require(JobKeys.EXPIRING_LEASES, revision)
+                .put(JobKeys.EXPIRING_LEASES, Json.write(new LeaseRecord(owner.fence(), millisLeft)));
     }
 
     /** Another write took effect, such as a late one or the same one sent before. */
     private void readRevision() throws InterruptedException
     {
-        revision = HedgedCall.read(() -> store.get(JobKeys.LAPSING)).map(StoredValue::modRevision).orElse(0L);
+        revision = HedgedCall.read(() -> store.get(JobKeys.EXPIRING_LEASES)).map(StoredValue::modRevision)
+                .orElse(0L);
     }
 
     /** Workers that the store has no longer recorded get their leases renewed again. */
@@ -248,7 +249,7 @@
         mayBeRecorded.retainAll(ids);
         synchronized (ledger)
         {
-            left.forEach(ledger.slots()::letRenew);
+            left.forEach(ledger.slots()::resumeLeaseRenewal);
         }
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/JobReader.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/JobReader.java
@@ -53,7 +53,7 @@
     }
 
     /** Whether all jobs that were there at the begin of the term are known. */
-    boolean areListed()
+    boolean isListingComplete()
     {
         return listed;
     }
@@ -61,7 +61,7 @@
     /** Reads what earlier owners recorded; comes before the jobs are followed. */
     void readProgress() throws InterruptedException
     {
-        while (!term.lease().isOver())
+        while (!term.lease().hasEnded())
         {
             try
             {
@@ -98,24 +98,24 @@
      * A box has written the record of a job. It is read if the watch does not tell of it soon, with the
      * job's cancellation; a watch may hear nothing for a while though the store answers.
      */
-    void noteWritten(String job)
+    void onJobWritten(String job)
     {
-        OwnerTerm.inBackground("written-" + job, () -> readUnless(job, term.ledger()::knows));
+        OwnerTerm.inBackground("written-" + job, () -> readUnless(job, term.cellState()::knows));
     }
 
     /**
      * A box has written the cancellation of a job, which is read likewise. Else what runs of the job
      * goes on until the watch is opened anew, 2.7 s at most.
      */
-    void noteCancelled(String job)
+    void onJobCancelled(String job)
     {
-        OwnerTerm.inBackground("cancelled-" + job, () -> readUnless(job, term.ledger()::knowsCancelled));
+        OwnerTerm.inBackground("cancelled-" + job, () -> readUnless(job, term.cellState()::knowsCancelled));
     }
 
     private void readUnless(String job, Predicate<String> isKnown) throws InterruptedException
     {
         Thread.sleep(WATCH_MILLIS);
-        if (!listed || term.lease().isOver() || isKnown(job, isKnown))
+        if (!listed || term.lease().hasEnded() || isKnown(job, isKnown))
         {
             return;
         }
@@ -145,14 +145,14 @@
 
     private boolean isKnown(String job, Predicate<String> isKnown)
     {
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
             return isKnown.test(job);
         }
     }
 
     @Override
-    public void put(String key, byte[] value, long revision)
+    public void onPut(String key, byte[] value, long revision)
     {
         JobKeys.idOfJob(key).ifPresent(id -> accept(id, value, revision));
         JobKeys.idOfCancel(key).ifPresent(id -> cancel(id, value));
@@ -167,9 +167,9 @@
         try
         {
             Effects effects;
-            synchronized (term.ledger())
+            synchronized (term.cellState())
             {
-                effects = term.ledger().accept(JobCodec.readRecord(value), revision, recorded.get(id),
+                effects = term.cellState().accept(JobCodec.readRecord(value), revision, recorded.get(id),
                         System.currentTimeMillis());
             }
             term.apply(effects);
@@ -184,25 +184,25 @@
     private void cancel(String id, byte[] value)
     {
         Effects effects;
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
-            effects = term.ledger().cancel(id, Cancellation.read(value));
+            effects = term.cellState().cancel(id, Cancellation.read(value));
         }
         term.apply(effects);
     }
 
     @Override
-    public void removed(String key, long revision)
+    public void onRemoved(String key, long revision)
     {
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
-            JobKeys.idOfJob(key).ifPresent(term.ledger()::forget);
-            JobKeys.idOfCancel(key).ifPresent(term.ledger()::forget);
+            JobKeys.idOfJob(key).ifPresent(term.cellState()::forget);
+            JobKeys.idOfCancel(key).ifPresent(term.cellState()::forget);
         }
     }
 
     @Override
-    public void listed(long revision)
+    public void onListed(long revision)
     {
         recorded = Map.of();
         if (!listed)
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/JobRestoration.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/JobRestoration.java
@@ -17,7 +17,7 @@
  */
 final class JobRestoration
 {
-    private final WorkerSlots workers;
+    private final TrackedWorkers workers;
     private final CrashGuard crashGuard;
     private final LongSupplier nanoTime;
 
@@ -26,7 +26,7 @@
      * @param crashGuard follows tasks under which workers have crashed
      * @param nanoTime a monotonic clock
      */
-    JobRestoration(WorkerSlots workers, CrashGuard crashGuard, LongSupplier nanoTime)
+    JobRestoration(TrackedWorkers workers, CrashGuard crashGuard, LongSupplier nanoTime)
     {
         this.workers = workers;
         this.crashGuard = crashGuard;
@@ -53,10 +53,10 @@
         for (int i = 0; i < recorded.size(); i++)
         {
             TaskProgress progress = recorded.get(i);
-            WorkerSlot slot = progress.worker() == null ? null : workers.get(progress.worker());
+            TrackedWorker slot = progress.worker() == null ? null : workers.get(progress.worker());
             Task task = step.tasks().get(i);
             task.restore(progress, slot, nanoTime.getAsLong());
-            crashGuard.restored(task);
+            crashGuard.onTaskRestored(task);
         }
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/JobRetention.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/JobRetention.java
@@ -22,7 +22,7 @@
     private static final int MOST_JOBS = 10;
 
     private final PlatformStore store;
-    private final Ledger ledger;
+    private final CellState ledger;
     private final OwnerLease owner;
     private final EventLog events;
     private final long retentionNanos;
@@ -35,7 +35,8 @@
      * @param retentionNanos how long a job is shown after it is over; an owner counts from when it
      *            learnt of it
      */
-    JobRetention(PlatformStore store, Ledger ledger, OwnerLease owner, EventLog events, long retentionNanos)
+    JobRetention(PlatformStore store, CellState ledger, OwnerLease owner, EventLog events,
+            long retentionNanos)
     {
         this.store = store;
         this.ledger = ledger;
@@ -47,7 +48,7 @@
     @Override
     public void run() throws InterruptedException
     {
-        while (!owner.isOver())
+        while (!owner.hasEnded())
         {
             while (removeSome())
             {
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Journal.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Journal.java
@@ -62,7 +62,7 @@
     }
 
     private final PlatformStore store;
-    private final Ledger ledger;
+    private final CellState ledger;
     private final OwnerLease owner;
     private final EventLog events;
     private final Map<Job, List<Batch>> marked = new LinkedHashMap<>();
@@ -75,7 +75,7 @@
      * @param owner this box's ownership, under which it writes
      * @param events where trouble with the store is recorded
      */
-    Journal(PlatformStore store, Ledger ledger, OwnerLease owner, EventLog events)
+    Journal(PlatformStore store, CellState ledger, OwnerLease owner, EventLog events)
     {
         this.store = store;
         this.ledger = ledger;
@@ -171,7 +171,7 @@
         synchronized (ledger)
         {
             job.endWrite();
-            ledger.dropIfOver(job);
+            ledger.dropIfFinished(job);
         }
         batches.forEach(Batch::written);
     }
@@ -233,7 +233,7 @@
             transaction.put(JobKeys.progress(job.id()), JobCodec.writeProgress(job.progress()));
             if (job.isFinished() && room > 0)
             {
-                transaction.put(JobKeys.job(job.id()), JobCodec.writeRecord(job.record().whenOver()));
+                transaction.put(JobKeys.job(job.id()), JobCodec.writeRecord(job.record().toTombstone()));
                 room--;
             }
         }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/NoTickets.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/NoTickets.java
@@ -10,13 +10,13 @@
 final class NoTickets implements Planner.Tickets
 {
     @Override
-    public Optional<String> ticket(Step step, WorkerSlot slot)
+    public Optional<String> ticket(Step step, TrackedWorker slot)
     {
         return Optional.empty();
     }
 
     @Override
-    public boolean isAllowed(Step step, WorkerSlot slot)
+    public boolean isAllowed(Step step, TrackedWorker slot)
     {
         return true;
     }
@@ -28,7 +28,7 @@
     }
 
     @Override
-    public boolean isBarred(Step step, WorkerSlot slot)
+    public boolean isDenied(Step step, TrackedWorker slot)
     {
         return false;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerElection.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerElection.java
@@ -70,7 +70,7 @@
          * @param except a box that does not count
          * @return whether a box that can do about as much began later than this one
          */
-        boolean isElder(String except);
+        boolean isLongerRunning(String except);
     }
 
     private final String box;
@@ -78,7 +78,7 @@
     private final Supplier<CellConfig> config;
     private final OwnerMonitor monitor;
     private final Ranking ranking;
-    private final AdviceLines lines;
+    private final AdviceDispatcher lines;
     private final WorkerScore score;
     private final Supervisor supervisor;
     private final long retentionNanos;
@@ -101,7 +101,7 @@
      * @param events where terms are recorded
      */
     public OwnerElection(String box, CellPlatform platform, Supplier<CellConfig> config, OwnerMonitor monitor,
-            Ranking ranking, AdviceLines lines, WorkerScore score, Supervisor supervisor,
+            Ranking ranking, AdviceDispatcher lines, WorkerScore score, Supervisor supervisor,
             int retentionSeconds, EventLog events)
     {
         this.box = box;
@@ -169,7 +169,7 @@
         {
             return OUTRANKED_MILLIS;
         }
-        return ranking.isElder(except) ? ELDER_MILLIS : 0;
+        return ranking.isLongerRunning(except) ? ELDER_MILLIS : 0;
     }
 
     /** Takes the cell from an owner that looks dead; nothing is to be done where its key changed. */
@@ -307,7 +307,7 @@
             begun.begin();
             while (!lease.awaitEnd(RENEW_MILLIS))
             {
-                if (!lease.mayOrder())
+                if (!lease.maySendCommands())
                 {
                     lease.end("the store has not confirmed the term for too long");
                 }
@@ -329,7 +329,7 @@
     /** Renewals do not wait for each other, so that one lost or slow answer does not cost the lease. */
     private void renewForever(OwnerLease lease) throws InterruptedException
     {
-        while (!lease.isOver())
+        while (!lease.hasEnded())
         {
             OwnerTerm.inBackground("renew-" + lease.fence(), () -> renew(lease));
             Thread.sleep(RENEW_MILLIS);
@@ -342,7 +342,7 @@
         {
             if (platform.store().renewLease(lease.storeLease()))
             {
-                lease.confirmed();
+                lease.recordConfirmation();
             }
             else
             {
@@ -364,7 +364,7 @@
     {
         resigned = true;
         OwnerLease lease = current;
-        if (lease == null || lease.isOver())
+        if (lease == null || lease.hasEnded())
         {
             return;
         }
@@ -399,9 +399,9 @@
      *
      * @param job the job's id
      */
-    public void noteWritten(String job)
+    public void onJobWritten(String job)
     {
-        term.ifPresent(begun -> begun.noteWritten(job));
+        term.ifPresent(begun -> begun.onJobWritten(job));
     }
 
     /**
@@ -409,9 +409,9 @@
      *
      * @param job the job's id
      */
-    public void noteCancelled(String job)
+    public void onJobCancelled(String job)
     {
-        term.ifPresent(begun -> begun.noteCancelled(job));
+        term.ifPresent(begun -> begun.onJobCancelled(job));
     }
 
     /** @return how long ago the store confirmed this box's newest term, in milliseconds */
@@ -425,6 +425,6 @@
     public boolean isOwner()
     {
         OwnerLease lease = current;
-        return lease != null && !lease.isOver();
+        return lease != null && !lease.hasEnded();
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerLease.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerLease.java
@@ -52,15 +52,15 @@
     }
 
     /** The store has just confirmed the term. */
-    void confirmed()
+    void recordConfirmation()
     {
         contactNanos = SteadyClock.nanos();
     }
 
     /** Whether orders may be sent: the store has confirmed the term not too long ago. */
-    boolean mayOrder()
+    boolean maySendCommands()
     {
-        return !isOver() && SteadyClock.nanos() - contactNanos < LONGEST_SILENCE_NANOS;
+        return !hasEnded() && SteadyClock.nanos() - contactNanos < LONGEST_SILENCE_NANOS;
     }
 
     /** How long ago the store confirmed the term, in milliseconds. */
@@ -69,7 +69,7 @@
         return TimeUnit.NANOSECONDS.toMillis(SteadyClock.nanos() - contactNanos);
     }
 
-    boolean isOver()
+    boolean hasEnded()
     {
         return over.getCount() == 0;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerMonitor.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerMonitor.java
@@ -69,7 +69,7 @@
      * @param owner a box
      * @return whether that box is the owner as far as this one knows and does not answer it
      */
-    public boolean isSilent(String owner)
+    public boolean isOwnerUnresponsive(String owner)
     {
         return silentOwner.equals(owner);
     }
@@ -90,7 +90,7 @@
         {
             while (true)
             {
-                OwnerProbe.Standing standing = probe.ask(owner, owner, holdMillis());
+                OwnerProbe.Result standing = probe.probe(owner, owner, holdMillis());
                 denials = standing.reached() && !standing.owner() ? denials + 1 : 0;
                 boolean heard = standing.reached() && denials < DENIALS;
                 silentOwner = heard || !probe.peers().contains(owner) ? "" : owner;
@@ -126,14 +126,14 @@
     }
 
     /** Why the owner should be replaced, or null. */
-    private String suspicion(String owner, OwnerProbe.Standing standing) throws InterruptedException
+    private String suspicion(String owner, OwnerProbe.Result standing) throws InterruptedException
     {
         boolean unconfirmed = standing.owner() && standing.unconfirmedMillis() > UNCONFIRMED_MILLIS;
         if (unconfirmed && storeIsSteady.getAsBoolean())
         {
             return "the store has not confirmed it for " + standing.unconfirmedMillis() + " ms";
         }
-        boolean dead = isSilent(owner) && !isOutranked.test(owner) && mostHearNothing(owner);
+        boolean dead = isOwnerUnresponsive(owner) && !isOutranked.test(owner) && mostHearNothing(owner);
         return dead ? "most boxes hear nothing from it" : null;
     }
 
@@ -177,7 +177,7 @@
             boolean silent = false;
             try
             {
-                silent = probe.ask(peer, owner, 0).silent();
+                silent = probe.probe(peer, owner, 0).ownerUnresponsive();
             }
             finally
             {
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerProbe.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerProbe.java
@@ -17,10 +17,10 @@
      * @param unconfirmedMillis how long ago the store confirmed its term, in milliseconds
      * @param silent whether the box that was asked about does not answer the one that was asked
      */
-    record Standing(boolean reached, boolean owner, long unconfirmedMillis, boolean silent)
+    record Result(boolean reached, boolean owner, long unconfirmedMillis, boolean ownerUnresponsive)
     {
         /** The box did not answer. */
-        public static final Standing UNREACHED = new Standing(false, false, 0, false);
+        public static final Result UNREACHED = new Result(false, false, 0, false);
     }
 
     /** @return the ids of the other boxes that are registered */
@@ -33,5 +33,5 @@
      * @return what the box said
      * @throws InterruptedException if the process stops
      */
-    Standing ask(String box, String owner, int waitMillis) throws InterruptedException;
+    Result probe(String box, String owner, int waitMillis) throws InterruptedException;
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerTerm.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerTerm.java
@@ -22,8 +22,8 @@
 import org.gaugehollow.platform.KeyPoller;
 import org.gaugehollow.supervise.Supervisor;
 import org.gaugehollow.time.SteadyClock;
-import org.gaugehollow.worker.HoldAnswer;
-import org.gaugehollow.worker.HoldAnswer.EndedRun;
+import org.gaugehollow.worker.HeartbeatReply;
+import org.gaugehollow.worker.HeartbeatReply.EndedRun;
 
 /** The work of the cell's owner during one term: jobs in, decisions, orders out, ends written. */
 final class OwnerTerm implements AutoCloseable
@@ -53,22 +53,22 @@
     private final Supervisor supervisor;
     private final Supplier<CellConfig> config;
     private final long retentionNanos;
-    private final Ledger ledger = new Ledger(SteadyClock::nanos, UNKNOWN_LEASE_NANOS);
+    private final CellState ledger = new CellState(SteadyClock::nanos, UNKNOWN_LEASE_NANOS);
     private final Journal journal;
-    private final AdviceDesk desk;
+    private final AdviceCache desk;
     private final Planner planner;
     private final QuotaWatch quotaWatch;
     private final Evacuation evacuation;
     private final StallGuard stallGuard;
     private final SlowWorkerGuard slowWorkerGuard;
-    private final SilentWorkerGuard silentWorkerGuard;
+    private final UnresponsiveWorkerGuard silentWorkerGuard;
     private final Semaphore wakeUps = new Semaphore(0);
     private final JobReader jobs;
-    private final LapsingWorkers lapsing;
-    private final WorkerRoster roster;
+    private final ExpiringLeases lapsing;
+    private final WorkerSessions roster;
 
     OwnerTerm(CellPlatform platform, OwnerLease lease, EventLog events, Supervisor supervisor,
-            Supplier<CellConfig> config, AdviceLines lines, WorkerScore score, long retentionNanos)
+            Supplier<CellConfig> config, AdviceDispatcher lines, WorkerScore score, long retentionNanos)
     {
         this.retentionNanos = retentionNanos;
         this.platform = platform;
@@ -77,16 +77,16 @@
         this.supervisor = supervisor;
         this.config = config;
         this.journal = new Journal(platform.store(), ledger, lease, events);
-        this.desk = new AdviceDesk(ledger, lines, this::wake);
+        this.desk = new AdviceCache(ledger, lines, this::wake);
         this.planner = new Planner(ledger, desk, score);
         this.quotaWatch = new QuotaWatch(events);
         this.evacuation = new Evacuation(ledger);
         this.stallGuard = new StallGuard(ledger);
         this.slowWorkerGuard = new SlowWorkerGuard(ledger);
-        this.silentWorkerGuard = new SilentWorkerGuard(ledger);
+        this.silentWorkerGuard = new UnresponsiveWorkerGuard(ledger);
         this.jobs = new JobReader(this, platform.store(), this::followWorkers);
-        this.roster = new WorkerRoster(this, platform, supervisor, config);
-        this.lapsing = new LapsingWorkers(platform.store(), ledger, lease, events);
+        this.roster = new WorkerSessions(this, platform, supervisor, config);
+        this.lapsing = new ExpiringLeases(platform.store(), ledger, lease, events);
     }
 
     /** Reads what earlier owners recorded and begins to work. */
@@ -103,15 +103,15 @@
     }
 
     /** A box has written the record of a job. */
-    void noteWritten(String job)
+    void onJobWritten(String job)
     {
-        jobs.noteWritten(job);
+        jobs.onJobWritten(job);
     }
 
     /** A box has written the cancellation of a job. */
-    void noteCancelled(String job)
+    void onJobCancelled(String job)
     {
-        jobs.noteCancelled(job);
+        jobs.onJobCancelled(job);
     }
 
     /**
@@ -127,14 +127,14 @@
 
     private void planForever() throws InterruptedException
     {
-        while (!lease.isOver())
+        while (!lease.hasEnded())
         {
             if (wakeUps.tryAcquire(LONGEST_WAIT_MILLIS, TimeUnit.MILLISECONDS))
             {
                 wakeUps.drainPermits();
             }
             long begunNanos = SteadyClock.nanos();
-            if (jobs.areListed() && lease.mayOrder() && hasConfig())
+            if (jobs.isListingComplete() && lease.maySendCommands() && hasConfig())
             {
                 planOnce();
             }
@@ -157,7 +157,7 @@
         Effects slow;
         Effects harmful;
         List<Effects> lapsed;
-        List<SilentWorkerGuard.LeftCopy> left;
+        List<UnresponsiveWorkerGuard.AbandonedRun> left;
         synchronized (ledger)
         {
             moves = evacuation.evacuate(SteadyClock.nanos());
@@ -169,7 +169,7 @@
                 ledger.configure(newest);
             }
             lapsed = releaseLapsed();
-            harmful = ledger.giveUpHarmful();
+            harmful = ledger.failPoisonTasks();
             left = silentWorkerGuard.check(SteadyClock.nanos());
             plan = planner.plan(SteadyClock.nanos(), System.currentTimeMillis());
             plan.needAdvice().forEach(desk::request);
@@ -185,7 +185,7 @@
         lapsed.forEach(this::applyLoss);
         applyLoss(harmful);
         quotaWatch.planned(plan.atQuota(), SteadyClock.nanos());
-        plan.madeRoom().forEach(this::makeRoom);
+        plan.preemptions().forEach(this::makeRoom);
         sendOnceWritten(plan.starts());
     }
 
@@ -200,7 +200,7 @@
         byJob.forEach((job, its) -> journal.mark(List.of(job), () -> its.forEach(this::send)));
     }
 
-    private void makeRoom(Planner.MadeRoom room)
+    private void makeRoom(Planner.PreemptionDecision room)
     {
         logMoves(room.effects(), room.step().name() + " is more urgent and needs its room");
         apply(room.effects());
@@ -218,13 +218,13 @@
     private List<Effects> releaseLapsed()
     {
         List<Effects> all = new ArrayList<>();
-        for (WorkerSlot slot : ledger.slots().lapsed())
+        for (TrackedWorker slot : ledger.slots().withExpiredLease())
         {
             if (SteadyClock.nanos() - slot.leaseEndNanos() > END_MARGIN_NANOS)
             {
                 events.record(EventType.WORKER_LOST, slot.id(),
-                        WorkerEnd.LAPSED.evidence() + " with " + slot.tasks().size() + " runs");
-                all.add(ledger.lost(slot, WorkerEnd.LAPSED));
+                        WorkerLossCause.LAPSED.description() + " with " + slot.tasks().size() + " runs");
+                all.add(ledger.onWorkerLost(slot, WorkerLossCause.LAPSED));
             }
         }
         return all;
@@ -296,21 +296,21 @@
     }
 
     /** Another life answers in a worker's place; each order that was under way may find that. */
-    void otherLife(WorkerSlot slot)
+    void onIncarnationChanged(TrackedWorker slot)
     {
         boolean wasKnown;
-        WorkerEnd end;
+        WorkerLossCause end;
         Effects effects;
         synchronized (ledger)
         {
             wasKnown = slot.entry() == null && slot.isIdle();
-            end = slot.isLeaving() ? WorkerEnd.LEFT : WorkerEnd.CRASHED;
+            end = slot.isLeaving() ? WorkerLossCause.LEFT : WorkerLossCause.CRASHED;
             slot.unlisted();
-            effects = ledger.lost(slot, end);
+            effects = ledger.onWorkerLost(slot, end);
         }
         if (!wasKnown)
         {
-            events.record(EventType.WORKER_LOST, slot.id(), end.evidence());
+            events.record(EventType.WORKER_LOST, slot.id(), end.description());
         }
         applyLoss(effects);
         roster.over(slot);
@@ -321,19 +321,19 @@
      * A worker has answered a look in the life of a slot: its other lives are over, unless they became
      * known only after the look was sent.
      */
-    void endOtherLives(WorkerSlot slot, long sentNanos)
+    void endOtherIncarnations(TrackedWorker slot, long sentNanos)
     {
-        List<WorkerSlot> over;
+        List<TrackedWorker> over;
         synchronized (ledger)
         {
-            over = ledger.slots().otherLives(slot).stream().filter(life -> life.knownNanos() - sentNanos < 0)
-                    .toList();
+            over = ledger.slots().otherIncarnations(slot).stream()
+                    .filter(life -> life.knownNanos() - sentNanos < 0).toList();
         }
-        over.forEach(this::otherLife);
+        over.forEach(this::onIncarnationChanged);
     }
 
     /** A worker refuses an order of this term, because it has had one of a newer one. */
-    void fencedBy(WorkerSlot slot)
+    void onFenced(TrackedWorker slot)
     {
         lease.end("worker " + slot.id() + " has seen a newer owner");
     }
@@ -352,17 +352,17 @@
         for (Effects.LostRun run : effects.lostRuns())
         {
             events.record(EventType.RUN_LOST, run.task(), "run " + run.run() + " on " + run.worker() + ": "
-                    + run.end().evidence() + ", seen at work for " + run.seenMillis() + " ms");
+                    + run.end().description() + ", seen at work for " + run.seenMillis() + " ms");
         }
     }
 
     /** A worker that is no longer listed, holds nothing and does not answer is forgotten. */
-    void sessionOver(WorkerSlot slot)
+    void onSessionEnded(TrackedWorker slot)
     {
         roster.forget(slot);
     }
 
-    void logEnds(WorkerSlot slot, HoldAnswer answer, long lastSeen)
+    void logEnds(TrackedWorker slot, HeartbeatReply answer, long lastSeen)
     {
         for (EndedRun end : answer.ended())
         {
@@ -375,7 +375,7 @@
     }
 
     /** A worker answers looks again; its lease is to be renewed soon. */
-    void workerIsBack()
+    void onWorkerRecovered()
     {
         lapsing.wake();
     }
@@ -391,12 +391,12 @@
         return lease;
     }
 
-    Ledger ledger()
+    CellState cellState()
     {
         return ledger;
     }
 
-    AdviceDesk desk()
+    AdviceCache adviceCache()
     {
         return desk;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerRehearsal.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerWarmup.java
@@ -15,24 +15,24 @@
 import org.gaugehollow.job.JobState;
 import org.gaugehollow.job.QueueSpec;
 import org.gaugehollow.job.StepSpec;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.placement.WorkerScore;
 import org.gaugehollow.supervise.SupervisedTask;
 import org.gaugehollow.time.SteadyClock;
-import org.gaugehollow.worker.HoldAnswer;
-import org.gaugehollow.worker.HoldAnswer.EndedRun;
-import org.gaugehollow.worker.HoldAnswer.RunningRun;
-import org.gaugehollow.worker.OrderResult;
+import org.gaugehollow.worker.CommandResult;
+import org.gaugehollow.worker.HeartbeatReply;
+import org.gaugehollow.worker.HeartbeatReply.EndedRun;
+import org.gaugehollow.worker.HeartbeatReply.RunningRun;
 import org.gaugehollow.worker.RunEnd;
 import org.gaugehollow.worker.WorkerEntry;
-import org.gaugehollow.worker.WorkerLife;
+import org.gaugehollow.worker.WorkerIncarnation;
 
 /**
  * Goes through an owner's decisions on made-up jobs, in memory only, while another box owns the
  * cell. The runtime has then compiled that code before this box takes over: a box that does it cold
  * sends its first start some 0.9 s after its term began, one whose code costs no time after 0.15 s.
  */
-public final class OwnerRehearsal implements SupervisedTask
+public final class OwnerWarmup implements SupervisedTask
 {
     /**
      * How many rounds until the runtime has compiled what is used in each; 40 cost 2 s of a processor.
@@ -61,7 +61,7 @@
      * @param ranking tells whether other boxes would own it before this one
      * @param score rates workers
      */
-    public OwnerRehearsal(OwnerElection election, OwnerElection.Ranking ranking, WorkerScore score)
+    public OwnerWarmup(OwnerElection election, OwnerElection.Ranking ranking, WorkerScore score)
     {
         this.election = election;
         this.ranking = ranking;
@@ -99,13 +99,13 @@
     /** One round with a memory of its own. */
     private static final class Round
     {
-        private final Ledger ledger = new Ledger(SteadyClock::nanos, 0);
+        private final CellState ledger = new CellState(SteadyClock::nanos, 0);
         private final Planner planner;
         private final Evacuation evacuation = new Evacuation(ledger);
         private final StallGuard stallGuard = new StallGuard(ledger);
         private final SlowWorkerGuard slowWorkerGuard = new SlowWorkerGuard(ledger);
-        private final SilentWorkerGuard silentWorkerGuard = new SilentWorkerGuard(ledger);
-        private final List<WorkerSlot> workers = new ArrayList<>();
+        private final UnresponsiveWorkerGuard silentWorkerGuard = new UnresponsiveWorkerGuard(ledger);
+        private final List<TrackedWorker> workers = new ArrayList<>();
         private final long[] lastEnds = new long[WORKERS];
         private int completed;
 
@@ -118,8 +118,8 @@
         {
             for (int i = 0; i < WORKERS; i++)
             {
-                WorkerSlot slot = ledger.list(worker(i));
-                slot.looked(SteadyClock.nanos());
+                TrackedWorker slot = ledger.list(worker(i));
+                slot.recordHeartbeat(SteadyClock.nanos());
                 workers.add(slot);
             }
             acceptAll(PATIENT, 0);
@@ -135,8 +135,9 @@
 
         private static WorkerEntry worker(int number)
         {
-            return new WorkerEntry(WorkerLife.only("worker-" + number), SERVICE, "", "hall-" + number % 2,
-                    false, -1, new Amounts(0, WORKER_CPU, MEMORY_MIB, 0), Set.of(), "");
+            return new WorkerEntry(WorkerIncarnation.withUnknownStart("worker-" + number), SERVICE, "",
+                    "hall-" + number % 2, false, -1, new ComputeResources(0, WORKER_CPU, MEMORY_MIB, 0),
+                    Set.of(), "");
         }
 
         private void acceptAll(QueueSpec queue, int first)
@@ -177,7 +178,7 @@
         {
             for (int i = 0; i < WORKERS; i++)
             {
-                WorkerSlot slot = workers.get(i);
+                TrackedWorker slot = workers.get(i);
                 List<RunningRun> running = new ArrayList<>();
                 List<EndedRun> ended = new ArrayList<>();
                 long number = lastEnds[i];
@@ -188,19 +189,19 @@
                     RunEnd how = task.phase() == Task.Phase.STOPPING ? RunEnd.STOPPED : RunEnd.DONE;
                     ended.add(new EndedRun(number, task.name(), task.run(), how, "state"));
                 }
-                look(slot, new HoldAnswer(OrderResult.DONE, 1, running, List.of()), lastEnds[i]);
-                look(slot, new HoldAnswer(OrderResult.DONE, 1, List.of(), ended), lastEnds[i]);
+                look(slot, new HeartbeatReply(CommandResult.DONE, 1, running, List.of()), lastEnds[i]);
+                look(slot, new HeartbeatReply(CommandResult.DONE, 1, List.of(), ended), lastEnds[i]);
                 lastEnds[i] = number;
             }
         }
 
-        private void look(WorkerSlot slot, HoldAnswer answer, long lastSeen)
+        private void look(TrackedWorker slot, HeartbeatReply answer, long lastSeen)
         {
-            for (Job job : ledger.look(slot, answer, lastSeen, SteadyClock.nanos()).changed())
+            for (Job job : ledger.applyHeartbeat(slot, answer, lastSeen, SteadyClock.nanos()).changed())
             {
                 write(job);
                 completed += job.state() == JobState.COMPLETED ? 1 : 0;
-                ledger.dropIfOver(job);
+                ledger.dropIfFinished(job);
             }
         }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Planner.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Planner.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 
 import org.gaugehollow.job.JobState;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.placement.WorkerScore;
 import org.gaugehollow.worker.WorkerEntry;
 
@@ -31,7 +31,7 @@
      * @param checkpoint the saved state to go on from, or null
      * @param ticket the advice service's ticket, or null
      */
-    record Start(Task task, int run, WorkerSlot slot, String checkpoint, String ticket)
+    record Start(Task task, int run, TrackedWorker slot, String checkpoint, String ticket)
     {
     }
 
@@ -43,8 +43,8 @@
      * @param madeRoom the runs that have to make room for more urgent steps
      * @param atQuota the customers of which work waits for their quota, and what they have running
      */
-    record Plan(List<Start> starts, List<Step> needAdvice, List<MadeRoom> madeRoom,
-            Map<String, Amounts> atQuota)
+    record Plan(List<Start> starts, List<Step> needAdvice, List<PreemptionDecision> preemptions,
+            Map<String, ComputeResources> atQuota)
     {
     }
 
@@ -54,7 +54,7 @@
      * @param step the step that needs their room
      * @param effects the stops
      */
-    record MadeRoom(Step step, Effects effects)
+    record PreemptionDecision(Step step, Effects effects)
     {
     }
 
@@ -62,31 +62,31 @@
     interface Tickets
     {
         /** The valid ticket, if starts of the step need one and there is one. */
-        Optional<String> ticket(Step step, WorkerSlot slot);
+        Optional<String> ticket(Step step, TrackedWorker slot);
 
         /** Whether the step is known not to be allowed on the worker. */
-        boolean isBarred(Step step, WorkerSlot slot);
+        boolean isDenied(Step step, TrackedWorker slot);
 
         /** Whether the step is known to be allowed on the worker, be there a valid ticket or not. */
-        boolean isAllowed(Step step, WorkerSlot slot);
+        boolean isAllowed(Step step, TrackedWorker slot);
 
         /** Whether the step's tickets last for longer than it takes to get newer ones. */
         boolean isFresh(Step step);
     }
 
-    private final Ledger ledger;
+    private final CellState ledger;
     private final Tickets tickets;
     private final WorkerRating rating;
-    private final RoomReservations reservations = new RoomReservations();
+    private final CapacityReservations reservations = new CapacityReservations();
     private final Preemption preemption = new Preemption(reservations);
     private AdviceBudget advice = AdviceBudget.NONE;
     private QuotaUse quotas;
-    private List<WorkerSlot> accepting = List.of();
-    private Amounts mostFree = Amounts.NONE;
+    private List<TrackedWorker> accepting = List.of();
+    private ComputeResources mostFree = ComputeResources.NONE;
     /** Workers on which nothing begins, because a suspect is on trial there. */
-    private Set<WorkerSlot> trials = Set.of();
+    private Set<TrackedWorker> trials = Set.of();
 
-    Planner(Ledger ledger, Tickets tickets, WorkerScore score)
+    Planner(CellState ledger, Tickets tickets, WorkerScore score)
     {
         this.ledger = ledger;
         this.tickets = tickets;
@@ -97,13 +97,14 @@
     Plan plan(long nowNanos, long wallMillis)
     {
         Plan plan = new Plan(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new HashMap<>());
-        trials = ledger.crashGuard().trials();
-        accepting = ledger.workers().stream().filter(slot -> slot.accepts() && !trials.contains(slot))
+        trials = ledger.crashGuard().isolationWorkers();
+        accepting = ledger.workers().stream().filter(slot -> slot.acceptsStarts() && !trials.contains(slot))
                 .toList();
         quotas = QuotaUse.of(ledger.config().customers(), ledger.workers());
-        mostFree = accepting.stream().map(WorkerSlot::free).reduce(Amounts.NONE, Amounts::most);
+        mostFree = accepting.stream().map(TrackedWorker::free).reduce(ComputeResources.NONE,
+                ComputeResources::max);
         advice = AdviceBudget.of(accepting);
-        reservations.dropOld(nowNanos);
+        reservations.removeExpired(nowNanos);
         preemption.begin(ledger, nowNanos, wallMillis);
         for (Job job : ledger.waitingByUrgency(wallMillis))
         {
@@ -121,9 +122,9 @@
         {
             return;
         }
-        List<WorkerSlot> roomy = withRoom(step, nowNanos);
+        List<TrackedWorker> roomy = withRoom(step, nowNanos);
         boolean advised = step.job().queue().adviceIfNeeded().isPresent();
-        List<WorkerSlot> usable = advised
+        List<TrackedWorker> usable = advised
                 ? roomy.stream().filter(slot -> tickets.ticket(step, slot).isPresent()).toList()
                 : roomy;
         int before = plan.starts().size();
@@ -144,7 +145,7 @@
         {
             return;
         }
-        if (preemption.mayMakeRoom(step))
+        if (preemption.mayPreempt(step))
         {
             makeRoom(step, plan, nowNanos);
         }
@@ -167,12 +168,12 @@
 
     private void makeRoom(Step step, Plan plan, long nowNanos)
     {
-        List<WorkerSlot> allowed = possible(step, nowNanos).stream()
+        List<TrackedWorker> allowed = possible(step, nowNanos).stream()
                 .filter(slot -> tickets.isAllowed(step, slot)).toList();
-        Effects effects = preemption.makeRoom(step, allowed);
+        Effects effects = preemption.preempt(step, allowed);
         if (!effects.stops().isEmpty())
         {
-            plan.madeRoom().add(new MadeRoom(step, effects));
+            plan.preemptions().add(new PreemptionDecision(step, effects));
         }
     }
 
@@ -181,10 +182,10 @@
      * that room can be made on the right workers and is not left idle for the time of a call once it is
      * there.
      */
-    private boolean shouldAsk(Step step, List<WorkerSlot> roomy)
+    private boolean shouldAsk(Step step, List<TrackedWorker> roomy)
     {
-        return hasRoomSomewhere(step, roomy) && advice.takeForRoom(step)
-                || !tickets.isFresh(step) && advice.takeAhead(step);
+        return hasRoomSomewhere(step, roomy) && advice.acquireForFreeCapacity(step)
+                || !tickets.isFresh(step) && advice.acquireForPrefetch(step);
     }
 
     /**
@@ -193,15 +194,15 @@
      * where not even the largest room suffices: a plan for 260 steps that wait beside 260 workers took
      * 19 to 60 ms before and takes 11 to 28 ms (first-tier code, machine under load).
      */
-    private List<WorkerSlot> withRoom(Step step, long nowNanos)
+    private List<TrackedWorker> withRoom(Step step, long nowNanos)
     {
         if (!mostFree.fits(step.needs()))
         {
             return List.of();
         }
-        List<WorkerSlot> fit = new ArrayList<>();
-        List<WorkerSlot> avoided = new ArrayList<>();
-        for (WorkerSlot slot : accepting)
+        List<TrackedWorker> fit = new ArrayList<>();
+        List<TrackedWorker> avoided = new ArrayList<>();
+        for (TrackedWorker slot : accepting)
         {
             if (slot.free().fits(step.needs()) && mayRun(step, slot) && hasRoom(step, slot, 1))
             {
@@ -218,11 +219,11 @@
     }
 
     /** The workers that may run the step whatever room they have now; avoided ones only if all are. */
-    private List<WorkerSlot> possible(Step step, long nowNanos)
+    private List<TrackedWorker> possible(Step step, long nowNanos)
     {
-        List<WorkerSlot> fit = new ArrayList<>();
-        List<WorkerSlot> avoided = new ArrayList<>();
-        for (WorkerSlot slot : accepting)
+        List<TrackedWorker> fit = new ArrayList<>();
+        List<TrackedWorker> avoided = new ArrayList<>();
+        for (TrackedWorker slot : accepting)
         {
             if (mayRun(step, slot))
             {
@@ -232,29 +233,30 @@
         return fit.isEmpty() ? avoided : fit;
     }
 
-    private boolean mayRun(Step step, WorkerSlot slot)
+    private boolean mayRun(Step step, TrackedWorker slot)
     {
         WorkerEntry entry = slot.entry();
         boolean service = entry.service().equals(step.job().queue().service());
-        return service && step.hasLabel(entry) && !tickets.isBarred(step, slot);
+        return service && step.hasLabel(entry) && !tickets.isDenied(step, slot);
     }
 
-    private boolean hasRoomSomewhere(Step step, List<WorkerSlot> slots)
+    private boolean hasRoomSomewhere(Step step, List<TrackedWorker> slots)
     {
         return slots.stream().anyMatch(slot -> hasRoom(step, slot, 1));
     }
 
-    private boolean hasRoom(Step step, WorkerSlot slot, int tasks)
+    private boolean hasRoom(Step step, TrackedWorker slot, int tasks)
     {
-        Amounts needs = step.needs().times(tasks);
-        return step.mayAddTo(slot, tasks) && slot.free().fits(needs.plus(reservations.keptFrom(step, slot)));
+        ComputeResources needs = step.needs().times(tasks);
+        return step.mayAddTo(slot, tasks)
+                && slot.free().fits(needs.plus(reservations.reservedAgainst(step, slot)));
     }
 
-    private void placeEach(Step step, List<WorkerSlot> usable, Plan plan, long nowNanos)
+    private void placeEach(Step step, List<TrackedWorker> usable, Plan plan, long nowNanos)
     {
         for (Task task : step.waiting())
         {
-            WorkerSlot best = quotas.allows(step, 1) ? best(task, usable, Map.of(), nowNanos) : null;
+            TrackedWorker best = quotas.allows(step, 1) ? best(task, usable, Map.of(), nowNanos) : null;
             if (best == null)
             {
                 return;
@@ -264,17 +266,17 @@
     }
 
     /** A gang starts whole or not at all, and only after nothing of its run before is left. */
-    private void placeGang(Step step, List<WorkerSlot> usable, Plan plan, long nowNanos)
+    private void placeGang(Step step, List<TrackedWorker> usable, Plan plan, long nowNanos)
     {
         if (!step.isIdle())
         {
             return;
         }
-        Map<WorkerSlot, Integer> chosen = new HashMap<>();
-        List<WorkerSlot> places = new ArrayList<>();
+        Map<TrackedWorker, Integer> chosen = new HashMap<>();
+        List<TrackedWorker> places = new ArrayList<>();
         for (Task task : step.tasks())
         {
-            WorkerSlot best = best(task, usable, chosen, nowNanos);
+            TrackedWorker best = best(task, usable, chosen, nowNanos);
             if (best == null)
             {
                 return;
@@ -290,7 +292,7 @@
         }
     }
 
-    private void start(Task task, int run, WorkerSlot slot, String checkpoint, Plan plan, long nowNanos)
+    private void start(Task task, int run, TrackedWorker slot, String checkpoint, Plan plan, long nowNanos)
     {
         task.order(slot, run, nowNanos);
         quotas.add(task.step());
@@ -303,12 +305,12 @@
         plan.starts().add(new Start(task, run, slot, checkpoint, ticket));
     }
 
-    private WorkerSlot best(Task task, List<WorkerSlot> usable, Map<WorkerSlot, Integer> chosen,
+    private TrackedWorker best(Task task, List<TrackedWorker> usable, Map<TrackedWorker, Integer> chosen,
             long nowNanos)
     {
-        WorkerSlot best = null;
+        TrackedWorker best = null;
         double bestRating = Double.MAX_VALUE;
-        for (WorkerSlot slot : usable)
+        for (TrackedWorker slot : usable)
         {
             int already = chosen.getOrDefault(slot, 0);
             if (!trials.contains(slot) && hasRoom(task.step(), slot, already + 1))
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Preemption.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Preemption.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import java.util.concurrent.TimeUnit;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /**
  * Makes room for tasks that fit nowhere: runs of less urgent queues are stopped if little of their
@@ -41,11 +41,11 @@
     private static final int MOST_STEPS = 16;
 
     /** Room for one task on a worker, and the runs that are to be stopped for it. */
-    private record Place(WorkerSlot slot, List<Task> victims, double lostMillis)
+    private record Place(TrackedWorker slot, List<Task> victims, double lostMillis)
     {
     }
 
-    private final RoomReservations reservations;
+    private final CapacityReservations reservations;
     private long nowNanos;
     private long wallMillis;
     private long dueNanos;
@@ -53,7 +53,7 @@
     private int stepsLeft;
     private int leastUrgent;
 
-    Preemption(RoomReservations reservations)
+    Preemption(CapacityReservations reservations)
     {
         this.reservations = reservations;
     }
@@ -65,7 +65,7 @@
      * @param newNanos the monotonic clock
      * @param newMillis the time of day, in milliseconds since 1970
      */
-    void begin(Ledger ledger, long newNanos, long newMillis)
+    void begin(CellState ledger, long newNanos, long newMillis)
     {
         nowNanos = newNanos;
         wallMillis = newMillis;
@@ -75,7 +75,7 @@
             hasBegun = true;
             dueNanos = newNanos + PERIOD_NANOS;
             stepsLeft = MOST_STEPS;
-            leastUrgent = ledger.leastUrgentAtWork();
+            leastUrgent = ledger.leastUrgentRunning();
         }
     }
 
@@ -83,7 +83,7 @@
      * Whether this round still looks for runs to stop, and may find some for the step. Nothing is done
      * where nothing less urgent is at work, or where the job is late in any case.
      */
-    boolean mayMakeRoom(Step step)
+    boolean mayPreempt(Step step)
     {
         boolean mayStart = !step.spec().gang() || step.isIdle();
         boolean isLeastUrgent = step.job().queue().priority() >= leastUrgent;
@@ -91,17 +91,17 @@
     }
 
     /**
-     * Makes room for the waiting tasks of a step that {@link #mayMakeRoom} lets pass, for all of a gang
+     * Makes room for the waiting tasks of a step that {@link #mayPreempt} lets pass, for all of a gang
      * or for as many as possible.
      *
      * @param step the step
      * @param allowed the workers that may run it
      * @return the runs that are to be stopped
      */
-    Effects makeRoom(Step step, Collection<WorkerSlot> allowed)
+    Effects preempt(Step step, Collection<TrackedWorker> allowed)
     {
         Effects effects = new Effects();
-        if (!mayMakeRoom(step))
+        if (!mayPreempt(step))
         {
             return effects;
         }
@@ -131,10 +131,11 @@
         return effects;
     }
 
-    private Place cheapest(Step step, Collection<WorkerSlot> allowed, List<Place> chosen, Set<Task> leaving)
+    private Place cheapest(Step step, Collection<TrackedWorker> allowed, List<Place> chosen,
+            Set<Task> leaving)
     {
         Place best = null;
-        for (WorkerSlot slot : allowed)
+        for (TrackedWorker slot : allowed)
         {
             int already = reservations.countOf(step, slot)
                     + (int) chosen.stream().filter(place -> place.slot() == slot).count();
@@ -148,10 +149,10 @@
     }
 
     /** The runs to stop on a worker so that it has room for some tasks; null if it cannot have it. */
-    private Place place(Step step, WorkerSlot slot, int tasks, Set<Task> leaving)
+    private Place place(Step step, TrackedWorker slot, int tasks, Set<Task> leaving)
     {
-        Amounts wanted = step.needs().times(tasks).plus(reservations.keptFrom(step, slot));
-        Amounts room = slot.free();
+        ComputeResources wanted = step.needs().times(tasks).plus(reservations.reservedAgainst(step, slot));
+        ComputeResources room = slot.free();
         List<Task> candidates = new ArrayList<>();
         for (Task task : slot.tasks())
         {
@@ -187,10 +188,10 @@
     }
 
     /** The part of a worker that a task of a step takes. */
-    private static double share(Step step, WorkerSlot slot)
+    private static double share(Step step, TrackedWorker slot)
     {
-        Amounts needs = step.needs();
-        Amounts capacity = slot.entry().capacity();
+        ComputeResources needs = step.needs();
+        ComputeResources capacity = slot.entry().capacity();
         return Math.max(part(needs.cpuMillis(), capacity.cpuMillis()),
                 part(needs.accelerators(), capacity.accelerators()));
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/QuotaUse.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/QuotaUse.java
@@ -10,7 +10,7 @@
 
 import org.gaugehollow.job.Customer;
 import org.gaugehollow.job.Customers;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /**
  * What each customer may have running on all workers, held against its quota. A run counts from the
@@ -31,24 +31,24 @@
      */
     private static final class Account
     {
-        private final Amounts quota;
+        private final ComputeResources quota;
         private long cpuMillis;
         private long memoryMib;
         private long accelerators;
 
-        private Account(Amounts quota)
+        private Account(ComputeResources quota)
         {
             this.quota = quota;
         }
 
-        private void add(Amounts needs)
+        private void add(ComputeResources needs)
         {
             cpuMillis += needs.cpuMillis();
             memoryMib += needs.memoryMib();
             accelerators += needs.accelerators();
         }
 
-        private boolean allows(Amounts needs, long tasks)
+        private boolean allows(ComputeResources needs, long tasks)
         {
             return cpuMillis + tasks * needs.cpuMillis() <= quota.cpuMillis()
                     && memoryMib + tasks * needs.memoryMib() <= quota.memoryMib()
@@ -69,7 +69,7 @@
      * @param workers all workers, listed or not
      * @return what may be running on them
      */
-    static QuotaUse of(Customers customers, Collection<WorkerSlot> workers)
+    static QuotaUse of(Customers customers, Collection<TrackedWorker> workers)
     {
         QuotaUse use = new QuotaUse(customers);
         if (customers.keysRequired())
@@ -79,11 +79,11 @@
         return use;
     }
 
-    private void addAll(WorkerSlot slot)
+    private void addAll(TrackedWorker slot)
     {
         slot.forEachTask(task -> add(task.step()));
-        slot.leftRuns().forEach(run -> add(run.task().step()));
-        slot.foreignSteps().forEach(this::add);
+        slot.abandonedRuns().forEach(run -> add(run.task().step()));
+        slot.orphanSteps().forEach(this::add);
     }
 
     /** Counts one more run of a step. */
@@ -118,10 +118,10 @@
      * @param customer a customer's name
      * @return what it may have running
      */
-    Amounts of(String customer)
+    ComputeResources of(String customer)
     {
         Account account = account(customer);
-        return new Amounts(0, Math.toIntExact(account.cpuMillis), Math.toIntExact(account.memoryMib),
+        return new ComputeResources(0, Math.toIntExact(account.cpuMillis), Math.toIntExact(account.memoryMib),
                 Math.toIntExact(account.accelerators));
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/QuotaWatch.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/QuotaWatch.java
@@ -11,7 +11,7 @@
 
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.EventType;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /**
  * Tells in the log when work of a customer begins to wait for its quota and when it no longer does:
@@ -41,7 +41,7 @@
      * @param atQuota the customers of which work waits for their quota, and what they have running
      * @param nowNanos a monotonic clock
      */
-    void planned(Map<String, Amounts> atQuota, long nowNanos)
+    void planned(Map<String, ComputeResources> atQuota, long nowNanos)
     {
         atQuota.forEach((customer, running) -> waits(customer, running, nowNanos));
         Iterator<Map.Entry<String, Spell>> known = spells.entrySet().iterator();
@@ -58,7 +58,7 @@
         }
     }
 
-    private void waits(String customer, Amounts running, long nowNanos)
+    private void waits(String customer, ComputeResources running, long nowNanos)
     {
         Spell known = spells.get(customer);
         if (known == null)
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/CrashMoments.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/RecentCrashes.java
@@ -13,7 +13,7 @@
  * loses power; what was at work on each of them did not do it. Not thread-safe; used under the
  * ledger's lock.
  */
-final class CrashMoments
+final class RecentCrashes
 {
     /** Looks at workers that fall silent together end within this time of each other. */
     private static final long TOGETHER_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -22,40 +22,40 @@
     /** Lives of workers that crashed together become known to be over within this time. */
     private static final long KEPT_NANOS = TimeUnit.SECONDS.toNanos(60);
 
-    private final WorkerSlots workers;
+    private final TrackedWorkers workers;
     private final Deque<Long> moments = new ArrayDeque<>();
 
-    CrashMoments(WorkerSlots workers)
+    RecentCrashes(TrackedWorkers workers)
     {
         this.workers = workers;
     }
 
     /** Takes note that a worker has crashed when it fell silent; one that never did tells no moment. */
-    void add(WorkerSlot slot)
+    void add(TrackedWorker slot)
     {
-        if (slot.isSilent())
+        if (slot.isUnresponsive())
         {
-            long newest = slot.silentNanos();
+            long newest = slot.unresponsiveSinceNanos();
             moments.removeIf(moment -> newest - moment > KEPT_NANOS);
             moments.add(newest);
         }
     }
 
     /** Whether a worker that has crashed, and was not added yet, fell silent together with others. */
-    boolean isOneOfMany(WorkerSlot slot)
+    boolean isCorrelated(TrackedWorker slot)
     {
-        if (!slot.isSilent())
+        if (!slot.isUnresponsive())
         {
             return false;
         }
         long crashed = moments.stream().filter(moment -> isTogether(slot, moment)).count();
-        long silent = workers.all().stream().filter(other -> other != slot && other.isSilent())
-                .filter(other -> isTogether(slot, other.silentNanos())).count();
+        long silent = workers.all().stream().filter(other -> other != slot && other.isUnresponsive())
+                .filter(other -> isTogether(slot, other.unresponsiveSinceNanos())).count();
         return crashed + silent + 1 >= FEWEST_TOGETHER;
     }
 
-    private static boolean isTogether(WorkerSlot slot, long moment)
+    private static boolean isTogether(TrackedWorker slot, long moment)
     {
-        return Math.abs(moment - slot.silentNanos()) <= TOGETHER_NANOS;
+        return Math.abs(moment - slot.unresponsiveSinceNanos()) <= TOGETHER_NANOS;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/RetiredJobs.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/RetiredJobs.java
@@ -41,7 +41,7 @@
         over.put(id, nanoTime.getAsLong());
     }
 
-    boolean isOver(String id)
+    boolean isFinished(String id)
     {
         return over.containsKey(id);
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/RunEnds.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/RunEndHandler.java
@@ -7,30 +7,30 @@
 import java.util.function.LongSupplier;
 
 import org.gaugehollow.job.JobState;
-import org.gaugehollow.worker.HoldAnswer.EndedRun;
+import org.gaugehollow.worker.HeartbeatReply.EndedRun;
 import org.gaugehollow.worker.RunEnd;
 
 /**
  * What the end of a run, as a worker lists it, means for its task, its job and the worker. Not
  * thread-safe; used under the ledger's lock.
  */
-final class RunEnds
+final class RunEndHandler
 {
-    private final Ledger ledger;
+    private final CellState ledger;
     private final LongSupplier nanoTime;
 
     /**
      * @param ledger the tasks
      * @param nanoTime a monotonic clock
      */
-    RunEnds(Ledger ledger, LongSupplier nanoTime)
+    RunEndHandler(CellState ledger, LongSupplier nanoTime)
     {
         this.ledger = ledger;
         this.nanoTime = nanoTime;
     }
 
     /** Takes note of an end; ends of runs that are not known any more change nothing. */
-    void take(WorkerSlot slot, EndedRun end, Effects effects)
+    void handle(TrackedWorker slot, EndedRun end, Effects effects)
     {
         Task task = ledger.find(end.task());
         if (task == null)
@@ -50,7 +50,7 @@
             return;
         }
         effects.changed(job);
-        Ledger.saveCheckpoint(task, end.checkpoint());
+        CellState.saveCheckpoint(task, end.checkpoint());
         if (end.how() == RunEnd.DONE && !task.step().spec().longRunning())
         {
             done(task, slot, nanoTime.getAsLong());
@@ -63,14 +63,14 @@
                 failed(task, slot, end.run(), effects);
             }
         }
-        Ledger.finishIfAllDone(job, effects);
+        CellState.finishIfAllDone(job, effects);
     }
 
     /**
      * The end of a run that was left on a worker that did not answer. An earlier owner may have left it
      * too, so a good end counts in any case.
      */
-    private void endOfCopy(Task task, WorkerSlot slot, EndedRun end, Effects effects)
+    private void endOfCopy(Task task, TrackedWorker slot, EndedRun end, Effects effects)
     {
         if (!task.mayHaveCopies() || task.phase() == Task.Phase.DONE)
         {
@@ -96,12 +96,12 @@
         {
             effects.stop(task);
         }
-        Ledger.finishIfAllDone(task.step().job(), effects);
+        CellState.finishIfAllDone(task.step().job(), effects);
     }
 
-    private static void done(Task task, WorkerSlot slot, long nowNanos)
+    private static void done(Task task, TrackedWorker slot, long nowNanos)
     {
-        slot.health().succeeded();
+        slot.health().recordSuccess();
         if (task.step().spec().gang())
         {
             task.step().tasks().forEach(Task::done);
@@ -110,17 +110,17 @@
         task.done(nowNanos);
     }
 
-    private void failed(Task task, WorkerSlot slot, int run, Effects effects)
+    private void failed(Task task, TrackedWorker slot, int run, Effects effects)
     {
         Step step = task.step();
         Job job = step.job();
         task.failedOn(slot);
         if (step.spec().longRunning())
         {
-            slot.health().failed(task.name(), nanoTime.getAsLong());
+            slot.health().recordFailure(task.name(), nanoTime.getAsLong());
             return;
         }
-        slot.health().failed(job.id(), nanoTime.getAsLong());
+        slot.health().recordFailure(job.id(), nanoTime.getAsLong());
         if (step.spec().gang())
         {
             step.gangFailed(run);
@@ -132,7 +132,7 @@
         int failures = step.spec().gang() ? step.tasks().getFirst().failures() : task.failures();
         if (failures >= job.queue().maxAttempts())
         {
-            Ledger.finish(job, JobState.FAILED, effects);
+            CellState.finish(job, JobState.FAILED, effects);
         }
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/RunObservation.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/RunObservation.java
@@ -81,7 +81,7 @@
     }
 
     /** When a look last showed another percentage than the one before. */
-    long movedNanos()
+    long lastProgressNanos()
     {
         return movedNanos;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/SlowWorkerGuard.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/SlowWorkerGuard.java
@@ -30,12 +30,12 @@
     private static final double MOVE_MILLIS = 500;
     private static final double UNKNOWN = 0;
 
-    private final Ledger ledger;
+    private final CellState ledger;
     private final Map<Step, Double> medians = new HashMap<>();
     private long checkedNanos;
     private boolean checked;
 
-    SlowWorkerGuard(Ledger ledger)
+    SlowWorkerGuard(CellState ledger)
     {
         this.ledger = ledger;
     }
@@ -51,14 +51,14 @@
         checked = true;
         checkedNanos = nowNanos;
         medians.clear();
-        for (WorkerSlot slot : ledger.workers())
+        for (TrackedWorker slot : ledger.workers())
         {
             checkWorker(slot, nowNanos, effects);
         }
         return effects;
     }
 
-    private void checkWorker(WorkerSlot slot, long nowNanos, Effects effects)
+    private void checkWorker(TrackedWorker slot, long nowNanos, Effects effects)
     {
         Set<Step> slowSteps = new HashSet<>();
         List<Task> slowTasks = new ArrayList<>();
@@ -67,7 +67,7 @@
             double ratio = ratio(task);
             if (ratio != UNKNOWN && ratio < NORMAL_RATIO)
             {
-                slot.health().inTime(nowNanos);
+                slot.health().recordOnTime(nowNanos);
                 return;
             }
             if (ratio > SLOW_RATIO)
@@ -76,9 +76,9 @@
                 slowTasks.add(task);
             }
         }
-        if (slowSteps.size() >= SLOW_STEPS && !slot.health().wasInTime(nowNanos))
+        if (slowSteps.size() >= SLOW_STEPS && !slot.health().wasOnTime(nowNanos))
         {
-            slot.health().slow(nowNanos);
+            slot.health().recordSlow(nowNanos);
             slowTasks.stream().filter(this::isWorthMoving).forEach(effects::stop);
         }
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/StallGuard.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/StallGuard.java
@@ -13,9 +13,9 @@
     private static final long STALL_NANOS = 2_500_000_000L;
     private static final long START_NANOS = 5_000_000_000L;
 
-    private final Ledger ledger;
+    private final CellState ledger;
 
-    StallGuard(Ledger ledger)
+    StallGuard(CellState ledger)
     {
         this.ledger = ledger;
     }
@@ -24,9 +24,9 @@
     Effects check(long nowNanos)
     {
         Effects effects = new Effects();
-        for (WorkerSlot slot : ledger.workers())
+        for (TrackedWorker slot : ledger.workers())
         {
-            if (slot.accepts() && nowNanos - slot.lookedNanos() < STALL_NANOS / 2)
+            if (slot.acceptsStarts() && nowNanos - slot.lastHeartbeatNanos() < STALL_NANOS / 2)
             {
                 checkWorker(slot, nowNanos, effects);
             }
@@ -34,13 +34,13 @@
         return effects;
     }
 
-    private static void checkWorker(WorkerSlot slot, long nowNanos, Effects effects)
+    private static void checkWorker(TrackedWorker slot, long nowNanos, Effects effects)
     {
         for (Task task : slot.tasks())
         {
             if (task.phase() == Task.Phase.RUNNING && standsStill(task, nowNanos))
             {
-                slot.health().stoodStill(nowNanos);
+                slot.health().recordStall(nowNanos);
                 stop(task, effects);
             }
         }
@@ -48,11 +48,11 @@
 
     private static boolean standsStill(Task task, long nowNanos)
     {
-        if (task.pace() < Task.WHOLE || task.step().spec().fills())
+        if (task.speedLimitPercent() < Task.WHOLE || task.step().spec().fills())
         {
             return false;
         }
-        long still = nowNanos - task.movedNanos();
+        long still = nowNanos - task.lastProgressNanos();
         return task.step().spec().longRunning()
                 ? task.percent() < Task.WHOLE && still > START_NANOS
                 : still > STALL_NANOS;
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Step.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Step.java
@@ -9,7 +9,7 @@
 
 import org.gaugehollow.job.JobProgress.StepProgress;
 import org.gaugehollow.job.StepSpec;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.worker.WorkerEntry;
 
 /** One step of one repetition of a job in the owner's memory. Guarded by the ledger's lock. */
@@ -19,7 +19,7 @@
     private final int round;
     private final int number;
     private final StepSpec spec;
-    private final Amounts needs;
+    private final ComputeResources needs;
     private final String name;
     private final List<Task> tasks = new ArrayList<>();
     private int failedGangRun;
@@ -40,7 +40,7 @@
     }
 
     /** The room that each of its tasks takes. */
-    Amounts needs()
+    ComputeResources needs()
     {
         return needs;
     }
@@ -124,13 +124,13 @@
     }
 
     /** How many tasks of the step a worker holds. */
-    long countOn(WorkerSlot slot)
+    long countOn(TrackedWorker slot)
     {
         return tasks.stream().filter(task -> task.worker() == slot).count();
     }
 
     /** Whether a worker may hold so many more tasks of the step beside those that it holds. */
-    boolean mayAddTo(WorkerSlot slot, int more)
+    boolean mayAddTo(TrackedWorker slot, int more)
     {
         int most = spec.antiAffinity();
         return most == 0 || countOn(slot) + more <= most;
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/StopOrders.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/StopCommands.java
@@ -11,23 +11,23 @@
 import java.util.concurrent.ConcurrentHashMap;
 
 import org.gaugehollow.time.SteadyClock;
-import org.gaugehollow.worker.OrderAnswer;
-import org.gaugehollow.worker.OrderResult;
+import org.gaugehollow.worker.CommandReply;
+import org.gaugehollow.worker.CommandResult;
 import org.gaugehollow.worker.WorkerPort;
 
 /** The owner's stops of runs on one life of a worker, at most one for a task at a time. */
-final class StopOrders
+final class StopCommands
 {
     private static final int ORDER_MILLIS = 350;
     private static final int RETRY_MILLIS = 150;
     private static final int TRIES_UNKNOWN = 3;
 
     private final OwnerTerm term;
-    private final WorkerSlot slot;
+    private final TrackedWorker slot;
     private final WorkerPort port;
     private final Set<String> active = ConcurrentHashMap.newKeySet();
 
-    StopOrders(OwnerTerm term, WorkerSlot slot, WorkerPort port)
+    StopCommands(OwnerTerm term, TrackedWorker slot, WorkerPort port)
     {
         this.term = term;
         this.slot = slot;
@@ -60,9 +60,9 @@
 
     private void stopKnown(Effects.Stop stop) throws InterruptedException
     {
-        while (isWanted(stop) && term.lease().mayOrder())
+        while (isWanted(stop) && term.lease().maySendCommands())
         {
-            OrderAnswer answer = port.stop(stop.taskName(), stop.run(), term.lease().fence(), ORDER_MILLIS);
+            CommandReply answer = port.stop(stop.taskName(), stop.run(), term.lease().fence(), ORDER_MILLIS);
             if (answer.result().isSettled())
             {
                 settleStop(stop, answer);
@@ -74,25 +74,25 @@
 
     private boolean isWanted(Effects.Stop stop)
     {
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
             return stop.task().isAt(slot, stop.run()) && stop.task().phase() == Task.Phase.STOPPING;
         }
     }
 
-    private void settleStop(Effects.Stop stop, OrderAnswer answer)
+    private void settleStop(Effects.Stop stop, CommandReply answer)
     {
-        if (answer.result() == OrderResult.FENCED)
+        if (answer.result() == CommandResult.FENCED)
         {
-            term.fencedBy(slot);
+            term.onFenced(slot);
         }
-        else if (answer.result() == OrderResult.OTHER_LIFE)
+        else if (answer.result() == CommandResult.OTHER_LIFE)
         {
-            term.otherLife(slot);
+            term.onIncarnationChanged(slot);
         }
         else
         {
-            synchronized (term.ledger())
+            synchronized (term.cellState())
             {
                 stop.task().settleStop(slot, stop.run(), SteadyClock.nanos());
             }
@@ -103,7 +103,7 @@
     {
         for (int i = 0; i < TRIES_UNKNOWN; i++)
         {
-            OrderAnswer answer = port.stop(stop.taskName(), stop.run(), term.lease().fence(), ORDER_MILLIS);
+            CommandReply answer = port.stop(stop.taskName(), stop.run(), term.lease().fence(), ORDER_MILLIS);
             if (answer.result().isSettled())
             {
                 return;
@@ -116,7 +116,7 @@
     void sendOpen()
     {
         List<Effects.Stop> open = new ArrayList<>();
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
             for (Task task : slot.tasks())
             {
@@ -132,12 +132,13 @@
     }
 
     /** Stops that let the life carry out no start that was sent to an earlier life of its worker. */
-    void barStartsForEarlierLives()
+    void blockStartsForEarlierIncarnations()
     {
         Map<String, Integer> runs;
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
-            runs = term.ledger().slots().unansweredStarts().forEarlierLives(slot, SteadyClock.nanos());
+            runs = term.cellState().slots().unansweredStarts().forEarlierIncarnations(slot,
+                    SteadyClock.nanos());
         }
         runs.forEach((task, run) -> OwnerTerm.inBackground(task,
                 () -> send(new Effects.Stop(slot, task, run, null))));
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/SummaryWriter.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/SummaryWriter.java
@@ -23,10 +23,10 @@
     private static final long PERIOD_MILLIS = 500;
 
     private final PlatformStore store;
-    private final Ledger ledger;
+    private final CellState ledger;
     private final OwnerLease owner;
 
-    SummaryWriter(PlatformStore store, Ledger ledger, OwnerLease owner)
+    SummaryWriter(PlatformStore store, CellState ledger, OwnerLease owner)
     {
         this.store = store;
         this.ledger = ledger;
@@ -37,7 +37,7 @@
     public void run() throws InterruptedException
     {
         Map<String, Integer> written = null;
-        while (!owner.isOver())
+        while (!owner.hasEnded())
         {
             Map<String, Integer> now;
             synchronized (ledger)
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Task.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Task.java
@@ -9,7 +9,7 @@
 import java.util.concurrent.TimeUnit;
 
 import org.gaugehollow.job.CrashHistory;
-import org.gaugehollow.job.CrashHistory.Evidence;
+import org.gaugehollow.job.CrashHistory.Attribution;
 import org.gaugehollow.job.JobProgress.TaskProgress;
 import org.gaugehollow.job.StepSpec;
 
@@ -31,7 +31,7 @@
         DONE
     }
 
-    /** What {@link #percent} and {@link #pace} are parts of. */
+    /** What {@link #percent} and {@link #speedLimitPercent} are parts of. */
     static final int WHOLE = 100;
     /** An order that is not settled yet. */
     static final long UNSETTLED = Long.MAX_VALUE;
@@ -42,7 +42,7 @@
     private int run;
     private int failures;
     private String checkpoint;
-    private WorkerSlot worker;
+    private TrackedWorker worker;
     private long settledNanos = UNSETTLED;
     private final RunObservation observation = new RunObservation();
     private long ranMillis;
@@ -67,7 +67,7 @@
     }
 
     /** Takes over what an earlier owner recorded. */
-    void restore(TaskProgress progress, WorkerSlot recordedWorker, long nowNanos)
+    void restore(TaskProgress progress, TrackedWorker recordedWorker, long nowNanos)
     {
         run = progress.run();
         failures = progress.failures();
@@ -92,7 +92,7 @@
     }
 
     /** A start is about to be recorded and sent. */
-    void order(WorkerSlot target, int newRun, long nowNanos)
+    void order(TrackedWorker target, int newRun, long nowNanos)
     {
         phase = Phase.ORDERED;
         run = newRun;
@@ -103,7 +103,7 @@
         pacedNanos = nowNanos;
         mayHaveBegun = false;
         hasBegun = false;
-        target.take(this);
+        target.addTask(this);
     }
 
     /** The start is sent now. */
@@ -148,7 +148,7 @@
     /**
      * A stop of a run was answered. Only the first answer counts, and it says nothing of a later run.
      */
-    void settleStop(WorkerSlot slot, int stoppedRun, long nowNanos)
+    void settleStop(TrackedWorker slot, int stoppedRun, long nowNanos)
     {
         if (phase == Phase.STOPPING && isAt(slot, stoppedRun) && settledNanos == UNSETTLED)
         {
@@ -183,7 +183,7 @@
     }
 
     /** Its run stays where it is, and another may be started. */
-    void leaveCopy()
+    void abandonRun()
     {
         Set<Integer> left = new HashSet<>(copies);
         left.add(run);
@@ -226,7 +226,7 @@
     {
         if (worker != null)
         {
-            worker.release(this);
+            worker.removeTask(this);
             worker = null;
         }
         settledNanos = UNSETTLED;
@@ -245,12 +245,12 @@
     }
 
     /** Remembers the worker on which a run failed, so that the next one goes elsewhere. */
-    void failedOn(WorkerSlot slot)
+    void failedOn(TrackedWorker slot)
     {
         failedOn = slot.id();
     }
 
-    boolean hasFailedOn(WorkerSlot slot)
+    boolean hasFailedOn(TrackedWorker slot)
     {
         return slot.id().equals(failedOn);
     }
@@ -275,7 +275,7 @@
     void setCrashes(CrashHistory newest)
     {
         crashes = newest;
-        suspect = newest.count(Evidence.AT_START) > 0;
+        suspect = newest.count(Attribution.AT_START) > 0;
     }
 
     /** Whether a worker crashed right after it had started the task. */
@@ -285,7 +285,7 @@
     }
 
     /** Whether a run of a suspect has not outlived its start yet. */
-    boolean isOnTrial()
+    boolean isIsolated()
     {
         return isSuspect() && occupies() && phase != Phase.STOPPING && seenMillis() < CrashGuard.TRIAL_MILLIS;
     }
@@ -298,13 +298,13 @@
         }
     }
 
-    void setPace(int newPace, long nowNanos)
+    void setSpeedLimitPercent(int newPace, long nowNanos)
     {
         pace = newPace;
         pacedNanos = nowNanos;
     }
 
-    long pacedNanos()
+    long speedLimitSetNanos()
     {
         return pacedNanos;
     }
@@ -315,7 +315,7 @@
         return worker != null;
     }
 
-    boolean isAt(WorkerSlot slot, int itsRun)
+    boolean isAt(TrackedWorker slot, int itsRun)
     {
         return worker == slot && run == itsRun;
     }
@@ -345,7 +345,7 @@
         return checkpoint;
     }
 
-    WorkerSlot worker()
+    TrackedWorker worker()
     {
         return worker;
     }
@@ -393,9 +393,9 @@
         return observation.millisUntil(nanos);
     }
 
-    long movedNanos()
+    long lastProgressNanos()
     {
-        return observation.movedNanos();
+        return observation.lastProgressNanos();
     }
 
     int percent()
@@ -403,7 +403,7 @@
         return observation.percent();
     }
 
-    int pace()
+    int speedLimitPercent()
     {
         return pace;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/PaceKeeper.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/ThrottleController.java
@@ -12,7 +12,7 @@
  * slowed down as soon as a serving task comes near its target, and let go faster again step by
  * step.
  */
-final class PaceKeeper
+final class ThrottleController
 {
     private static final int[] PACES = {0, 25, 50, 100};
     private static final double SLOW_DOWN_AT = 0.85;
@@ -30,7 +30,7 @@
     {
     }
 
-    private PaceKeeper()
+    private ThrottleController()
     {
     }
 
@@ -38,7 +38,7 @@
      * Whether tasks that fill and tasks that serve share the worker, so that it has to be looked at
      * often.
      */
-    static boolean isShared(WorkerSlot slot)
+    static boolean isShared(TrackedWorker slot)
     {
         boolean serves = false;
         boolean fills = false;
@@ -51,7 +51,7 @@
     }
 
     /** Decides the paces after a look. */
-    static List<Change> adjust(WorkerSlot slot, long nowNanos)
+    static List<Change> adjust(TrackedWorker slot, long nowNanos)
     {
         double worst = 0;
         for (Task task : slot.tasks())
@@ -75,19 +75,19 @@
 
     private static void adjust(Task task, double worst, long nowNanos, List<Change> changes)
     {
-        int level = level(task.pace());
+        int level = level(task.speedLimitPercent());
         if (worst > SLOW_DOWN_AT && level > 0)
         {
             level = worst > 1 ? 0 : level - 1;
         }
         else if (worst < SPEED_UP_BELOW && level < PACES.length - 1
-                && nowNanos - task.pacedNanos() > CALM_NANOS)
+                && nowNanos - task.speedLimitSetNanos() > CALM_NANOS)
         {
             level++;
         }
-        if (PACES[level] != task.pace())
+        if (PACES[level] != task.speedLimitPercent())
         {
-            task.setPace(PACES[level], nowNanos);
+            task.setSpeedLimitPercent(PACES[level], nowNanos);
             changes.add(new Change(task, task.run(), PACES[level]));
         }
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerSlot.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/TrackedWorker.java
@@ -10,12 +10,12 @@
 import java.util.Set;
 import java.util.function.Consumer;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.worker.WorkerEntry;
-import org.gaugehollow.worker.WorkerLife;
+import org.gaugehollow.worker.WorkerIncarnation;
 
 /** One life of a worker in the owner's memory. Guarded by the ledger's lock. */
-final class WorkerSlot
+final class TrackedWorker
 {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     /** A worker's clock may run this much slower than ours. */
@@ -25,15 +25,15 @@
     private static final long ANSWERS = Long.MAX_VALUE;
 
     private final String id;
-    private final WorkerLife life;
+    private final WorkerIncarnation life;
     private final long knownNanos;
     private final Set<Task> tasks = new LinkedHashSet<>();
-    private final List<SilentRun> leftRuns = new ArrayList<>();
+    private final List<UnresponsiveRun> leftRuns = new ArrayList<>();
     private final WorkerHealth health = new WorkerHealth();
     private WorkerEntry entry;
-    private Amounts used = Amounts.NONE;
+    private ComputeResources used = ComputeResources.NONE;
     /** What is left of the capacity; asked for often, and changed seldom. */
-    private Amounts free = Amounts.NONE;
+    private ComputeResources free = ComputeResources.NONE;
     private boolean held;
     /** Whether the last look showed runs that the owner does not know. */
     private boolean foreignRuns;
@@ -53,19 +53,19 @@
     /**
      * A life of which nothing is known yet but when its runs have ended.
      *
-     * @param id the life as text, see {@link WorkerLife#text}
+     * @param id the life as text, see {@link WorkerIncarnation#text}
      * @param leaseEndNanos when its runs have ended
      * @param knownNanos the monotonic clock now
      */
-    WorkerSlot(String id, long leaseEndNanos, long knownNanos)
+    TrackedWorker(String id, long leaseEndNanos, long knownNanos)
     {
         this.id = id;
-        this.life = WorkerLife.parse(id);
+        this.life = WorkerIncarnation.parse(id);
         this.leaseEndNanos = leaseEndNanos;
         this.knownNanos = knownNanos;
     }
 
-    void take(Task task)
+    void addTask(Task task)
     {
         if (tasks.add(task))
         {
@@ -74,7 +74,7 @@
         }
     }
 
-    void release(Task task)
+    void removeTask(Task task)
     {
         if (tasks.remove(task))
         {
@@ -84,40 +84,40 @@
     }
 
     /** A run is left here, and its task goes on elsewhere. */
-    void leave(SilentRun run)
+    void addAbandonedRun(UnresponsiveRun run)
     {
         leftRuns.add(run);
     }
 
     /** The runs that were left here; they are known no more. */
-    List<SilentRun> takeLeftRuns()
+    List<UnresponsiveRun> removeAbandonedRuns()
     {
-        List<SilentRun> taken = new ArrayList<>(leftRuns);
+        List<UnresponsiveRun> taken = new ArrayList<>(leftRuns);
         leftRuns.clear();
         return taken;
     }
 
     private void measureFree()
     {
-        free = entry == null ? Amounts.NONE : entry.capacity().minusAtMost(used);
+        free = entry == null ? ComputeResources.NONE : entry.capacity().minusClamped(used);
     }
 
     /**
      * Whether it holds more than its room, which has shrunk since. What runs there goes on: it is no
      * start, and stopping it would throw its work away.
      */
-    boolean isOverfull()
+    boolean isOvercommitted()
     {
         return entry != null && !entry.capacity().fits(used);
     }
 
-    Amounts free()
+    ComputeResources free()
     {
         return free;
     }
 
     /** Whether tasks may be started on it. */
-    boolean accepts()
+    boolean acceptsStarts()
     {
         return entry != null && held && !lapsing && !entry.draining() && !foreignRuns;
     }
@@ -129,12 +129,12 @@
     }
 
     /** Whether its lease is left to lapse: no order renews it, and nothing is started on it. */
-    void setLapsing(boolean value)
+    void setLeaseExpiring(boolean value)
     {
         lapsing = value;
     }
 
-    boolean isLapsing()
+    boolean isLeaseExpiring()
     {
         return lapsing;
     }
@@ -209,7 +209,7 @@
     }
 
     /** A look at it was answered. */
-    void looked(long nowNanos)
+    void recordHeartbeat(long nowNanos)
     {
         held = true;
         leaving = leaving || entry == null;
@@ -223,7 +223,7 @@
      * @param nowNanos the monotonic clock
      * @param broken whether the connection broke before the look's time was over
      */
-    void missed(long nowNanos, boolean broken)
+    void recordMissedHeartbeat(long nowNanos, boolean broken)
     {
         held = false;
         if (silentNanos == ANSWERS)
@@ -234,50 +234,51 @@
     }
 
     /** Whether its newest look was not answered. */
-    boolean isSilent()
+    boolean isUnresponsive()
     {
         return silentNanos != ANSWERS;
     }
 
     /** Whether no look was answered for some time, though some were sent. */
-    boolean isSilentFor(long nanos, long nowNanos)
+    boolean isUnresponsiveFor(long nanos, long nowNanos)
     {
         return silentNanos != ANSWERS && nowNanos - silentNanos >= nanos;
     }
 
     /**
-     * Since when its looks are not answered; {@link #hasBrokenOff} tells whether there is such a time.
+     * Since when its looks are not answered; {@link #hasLostConnection} tells whether there is such a
+     * time.
      */
-    long silentNanos()
+    long unresponsiveSinceNanos()
     {
         return silentNanos;
     }
 
     /** Whether its silence began with a connection that broke, as when it crashes. */
-    boolean hasBrokenOff()
+    boolean hasLostConnection()
     {
         return silentNanos != ANSWERS && brokenOff;
     }
 
     /** Whether its newest look was answered. */
-    boolean answers()
+    boolean isResponsive()
     {
         return held && silentNanos == ANSWERS;
     }
 
     /** When it last answered a look. */
-    long lookedNanos()
+    long lastHeartbeatNanos()
     {
         return lookedNanos;
     }
 
-    void setHeld(boolean value)
+    void setLeaseHeld(boolean value)
     {
         held = value;
     }
 
     /** A new look begins. */
-    void clearForeignRuns()
+    void clearOrphanRuns()
     {
         foreignRuns = false;
         foreignSteps.clear();
@@ -288,7 +289,7 @@
      *
      * @param step the step of the task; null if its job is not known
      */
-    void addForeignRun(Step step)
+    void addOrphanRun(Step step)
     {
         foreignRuns = true;
         if (step != null)
@@ -298,29 +299,29 @@
     }
 
     /** The steps of the unknown runs that the last look showed, where their jobs are known. */
-    List<Step> foreignSteps()
+    List<Step> orphanSteps()
     {
         return foreignSteps;
     }
 
     /** The runs that were left here. */
-    List<SilentRun> leftRuns()
+    List<UnresponsiveRun> abandonedRuns()
     {
         return leftRuns;
     }
 
     /** Whether the last look showed runs that the owner does not know. */
-    boolean hasForeignRuns()
+    boolean hasOrphanRuns()
     {
         return foreignRuns;
     }
 
-    boolean held()
+    boolean isLeaseHeld()
     {
         return held;
     }
 
-    /** The life as text, see {@link WorkerLife#text}. */
+    /** The life as text, see {@link WorkerIncarnation#text}. */
     String id()
     {
         return id;
@@ -333,9 +334,9 @@
     }
 
     /** Whether it is known when the life began. */
-    boolean tellsBirth()
+    boolean hasStartTime()
     {
-        return life.tellsBirth();
+        return life.hasStartTime();
     }
 
     /** Since when this owner knows of the life. */
@@ -354,7 +355,7 @@
         return health;
     }
 
-    Amounts used()
+    ComputeResources used()
     {
         return used;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerSlots.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/TrackedWorkers.java
@@ -16,11 +16,11 @@
 import org.gaugehollow.worker.WorkerEntry;
 
 /** The lives of workers that the owner knows, listed or not. Guarded by the ledger's lock. */
-final class WorkerSlots
+final class TrackedWorkers
 {
     private final LongSupplier nanoTime;
     private final long unknownLeaseEnd;
-    private final Map<String, WorkerSlot> slots = new HashMap<>();
+    private final Map<String, TrackedWorker> slots = new HashMap<>();
     /** Workers whose leases are left to lapse; a worker that is listed anew stays among them. */
     private final Set<String> lapsing = new HashSet<>();
     private final Map<String, Long> recordedLeaseEnds = new HashMap<>();
@@ -31,33 +31,33 @@
      * @param unknownLeaseNanos how long after now a worker that cannot be reached may still run what an
      *            earlier owner started
      */
-    WorkerSlots(LongSupplier nanoTime, long unknownLeaseNanos)
+    TrackedWorkers(LongSupplier nanoTime, long unknownLeaseNanos)
     {
         this.nanoTime = nanoTime;
         this.unknownLeaseEnd = nanoTime.getAsLong() + unknownLeaseNanos;
     }
 
-    Collection<WorkerSlot> all()
+    Collection<TrackedWorker> all()
     {
         return slots.values();
     }
 
-    Optional<WorkerSlot> find(String id)
+    Optional<TrackedWorker> find(String id)
     {
         return Optional.ofNullable(slots.get(id));
     }
 
     /** The slot of a worker, be it listed or not. */
-    WorkerSlot get(String id)
+    TrackedWorker get(String id)
     {
         return slots.computeIfAbsent(id, this::create);
     }
 
-    private WorkerSlot create(String id)
+    private TrackedWorker create(String id)
     {
         long leaseEnd = recordedLeaseEnds.getOrDefault(id, unknownLeaseEnd);
-        WorkerSlot slot = new WorkerSlot(id, leaseEnd, nanoTime.getAsLong());
-        slot.setLapsing(lapsing.contains(id));
+        TrackedWorker slot = new TrackedWorker(id, leaseEnd, nanoTime.getAsLong());
+        slot.setLeaseExpiring(lapsing.contains(id));
         return slot;
     }
 
@@ -65,10 +65,10 @@
      * The lives of a worker that are surely not the given one: an owner of an earlier version recorded
      * a worker by its id alone, and may have meant that one.
      */
-    List<WorkerSlot> otherLives(WorkerSlot one)
+    List<TrackedWorker> otherIncarnations(TrackedWorker one)
     {
         return slots.values().stream()
-                .filter(slot -> slot != one && slot.tellsBirth() && slot.worker().equals(one.worker()))
+                .filter(slot -> slot != one && slot.hasStartTime() && slot.worker().equals(one.worker()))
                 .toList();
     }
 
@@ -79,15 +79,15 @@
     }
 
     /** Takes a worker's newest entry; returns the slot of the life that wrote it. */
-    WorkerSlot list(WorkerEntry entry)
+    TrackedWorker list(WorkerEntry entry)
     {
-        WorkerSlot slot = get(entry.life().text());
+        TrackedWorker slot = get(entry.incarnation().text());
         slot.setEntry(entry, nanoTime.getAsLong());
         return slot;
     }
 
     /** Drops a worker that is no longer listed and holds nothing. */
-    void unlist(WorkerSlot slot)
+    void unlist(TrackedWorker slot)
     {
         if (slot.isIdle())
         {
@@ -96,7 +96,7 @@
     }
 
     /** Workers whose leases have surely lapsed and that still hold tasks. */
-    List<WorkerSlot> lapsed()
+    List<TrackedWorker> withExpiredLease()
     {
         long now = nanoTime.getAsLong();
         return slots.values().stream().filter(slot -> !slot.isIdle() && now - slot.leaseEndNanos() > 0)
@@ -108,24 +108,24 @@
      *
      * @param leaseEnds by worker, the time of the monotonic clock at which its lease is over
      */
-    void expectLapsing(Map<String, Long> leaseEnds)
+    void restoreExpiringLeases(Map<String, Long> leaseEnds)
     {
         recordedLeaseEnds.putAll(leaseEnds);
         lapsing.addAll(leaseEnds.keySet());
     }
 
     /** A worker's lease is not renewed from now on. */
-    void letLapse(WorkerSlot slot)
+    void stopLeaseRenewal(TrackedWorker slot)
     {
         lapsing.add(slot.id());
-        slot.setLapsing(true);
+        slot.setLeaseExpiring(true);
     }
 
     /** A worker's lease may be renewed again. */
-    void letRenew(String id)
+    void resumeLeaseRenewal(String id)
     {
         lapsing.remove(id);
         recordedLeaseEnds.remove(id);
-        find(id).ifPresent(slot -> slot.setLapsing(false));
+        find(id).ifPresent(slot -> slot.setLeaseExpiring(false));
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/UnansweredStarts.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/UnansweredStarts.java
@@ -30,21 +30,21 @@
      * @param run the number of the run
      * @param sentNanos when it was sent, on the monotonic clock
      */
-    private record Sent(WorkerSlot slot, String task, int run, long sentNanos)
+    private record Sent(TrackedWorker slot, String task, int run, long sentNanos)
     {
         private boolean mayArrive(long nowNanos)
         {
             return nowNanos - sentNanos < LATEST_ARRIVAL_NANOS;
         }
 
-        private boolean isForEarlierLifeThan(WorkerSlot newest)
+        private boolean isForEarlierLifeThan(TrackedWorker newest)
         {
             return slot != newest && slot.worker().equals(newest.worker());
         }
     }
 
     /** A start was sent to a life of a worker and not answered. */
-    void add(WorkerSlot slot, String task, int run, long nowNanos)
+    void add(TrackedWorker slot, String task, int run, long nowNanos)
     {
         sent.removeIf(start -> !start.mayArrive(nowNanos));
         sent.add(new Sent(slot, task, run, nowNanos));
@@ -54,7 +54,7 @@
      * The starts for earlier lives of a worker that its present life may carry out: by task, the
      * highest run. A stop of that run bars those below it as well.
      */
-    Map<String, Integer> forEarlierLives(WorkerSlot slot, long nowNanos)
+    Map<String, Integer> forEarlierIncarnations(TrackedWorker slot, long nowNanos)
     {
         Map<String, Integer> runs = new HashMap<>();
         for (Sent start : sent)
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/SilentRun.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/UnresponsiveRun.java
@@ -4,7 +4,7 @@
  */
 package org.gaugehollow.schedule;
 
-import org.gaugehollow.job.CrashHistory.Evidence;
+import org.gaugehollow.job.CrashHistory.Attribution;
 
 /**
  * A run on a worker that does not answer or has crashed.
@@ -15,27 +15,29 @@
  * @param lastedMillis how long it was at work, in milliseconds: until the connection to its worker
  *            broke, or for as long as it was seen where nothing broke
  */
-record SilentRun(Task task, int run, boolean hasBegun, long lastedMillis)
+record UnresponsiveRun(Task task, int run, boolean hasBegun, long lastedMillis)
 {
     /** The newest run of a task on a worker. */
-    static SilentRun of(Task task, WorkerSlot slot)
+    static UnresponsiveRun of(Task task, TrackedWorker slot)
     {
-        long lasted = slot.hasBrokenOff() ? task.millisUntil(slot.silentNanos()) : task.seenMillis();
-        return new SilentRun(task, task.run(), task.hasBegun(), Math.max(lasted, task.seenMillis()));
+        long lasted = slot.hasLostConnection()
+                ? task.millisUntil(slot.unresponsiveSinceNanos())
+                : task.seenMillis();
+        return new UnresponsiveRun(task, task.run(), task.hasBegun(), Math.max(lasted, task.seenMillis()));
     }
 
     /** What it says of its task that the worker crashed. */
-    Evidence evidence()
+    Attribution attribution()
     {
         if (!hasBegun)
         {
-            return Evidence.UNPROVEN;
+            return Attribution.UNPROVEN;
         }
-        return hadJustBegun() ? Evidence.AT_START : Evidence.LATER;
+        return hadJustStarted() ? Attribution.AT_START : Attribution.LATER;
     }
 
     /** Whether it may have crashed its worker by its start. */
-    boolean hadJustBegun()
+    boolean hadJustStarted()
     {
         return lastedMillis < CrashGuard.TRIAL_MILLIS;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/SilentWorkerGuard.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/UnresponsiveWorkerGuard.java
@@ -13,12 +13,12 @@
  * answer. All other tasks wait until the worker's lease has surely lapsed. Not thread-safe; used
  * under the ledger's lock.
  */
-final class SilentWorkerGuard
+final class UnresponsiveWorkerGuard
 {
     /** Long enough for the next look to be answered where only one connection was lost. */
     private static final long SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
-    private final Ledger ledger;
+    private final CellState ledger;
 
     /**
      * A run that was left where it is.
@@ -27,22 +27,22 @@
      * @param run its number
      * @param worker the worker that does not answer
      */
-    record LeftCopy(String task, int run, String worker)
+    record AbandonedRun(String task, int run, String worker)
     {
     }
 
-    SilentWorkerGuard(Ledger ledger)
+    UnresponsiveWorkerGuard(CellState ledger)
     {
         this.ledger = ledger;
     }
 
     /** Frees the tasks for another run and tells which runs were left. */
-    List<LeftCopy> check(long nowNanos)
+    List<AbandonedRun> check(long nowNanos)
     {
-        List<LeftCopy> left = new ArrayList<>();
-        for (WorkerSlot slot : ledger.workers())
+        List<AbandonedRun> left = new ArrayList<>();
+        for (TrackedWorker slot : ledger.workers())
         {
-            if (slot.isSilentFor(SILENCE_NANOS, nowNanos))
+            if (slot.isUnresponsiveFor(SILENCE_NANOS, nowNanos))
             {
                 leaveCopies(slot, left);
             }
@@ -54,16 +54,16 @@
      * Only runs whose start was answered: a start that may still arrive must be stopped before anything
      * else can be started on the worker.
      */
-    private void leaveCopies(WorkerSlot slot, List<LeftCopy> left)
+    private void leaveCopies(TrackedWorker slot, List<AbandonedRun> left)
     {
         for (Task task : slot.tasks())
         {
             if (task.phase() == Task.Phase.RUNNING && task.mayHaveCopies()
-                    && ledger.crashGuard().mayLeave(task, slot))
+                    && ledger.crashGuard().mayAbandonRun(task, slot))
             {
-                ledger.crashGuard().left(task, slot);
-                left.add(new LeftCopy(task.name(), task.run(), slot.id()));
-                task.leaveCopy();
+                ledger.crashGuard().onRunAbandoned(task, slot);
+                left.add(new AbandonedRun(task.name(), task.run(), slot.id()));
+                task.abandonRun();
             }
         }
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerOrders.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerCommands.java
@@ -8,35 +8,35 @@
 
 import org.gaugehollow.event.EventType;
 import org.gaugehollow.time.SteadyClock;
-import org.gaugehollow.worker.OrderAnswer;
-import org.gaugehollow.worker.OrderResult;
-import org.gaugehollow.worker.StartOrder;
+import org.gaugehollow.worker.CommandReply;
+import org.gaugehollow.worker.CommandResult;
+import org.gaugehollow.worker.StartCommand;
 import org.gaugehollow.worker.WorkerPort;
 
 /**
  * The owner's starts and changes of pace on one life of a worker. Each start is sent until it is
  * known what became of it; one of which that cannot be known is stopped.
  */
-final class WorkerOrders
+final class WorkerCommands
 {
     private static final int ORDER_MILLIS = 350;
     private static final int START_TRIES = 3;
 
     private final OwnerTerm term;
-    private final WorkerSlot slot;
+    private final TrackedWorker slot;
     private final WorkerPort port;
-    private final StopOrders stops;
+    private final StopCommands stops;
 
-    WorkerOrders(OwnerTerm term, WorkerSlot slot, WorkerPort port)
+    WorkerCommands(OwnerTerm term, TrackedWorker slot, WorkerPort port)
     {
         this.term = term;
         this.slot = slot;
         this.port = port;
-        this.stops = new StopOrders(term, slot, port);
+        this.stops = new StopCommands(term, slot, port);
     }
 
     /** The stops of runs on the worker. */
-    StopOrders stops()
+    StopCommands stops()
     {
         return stops;
     }
@@ -52,19 +52,19 @@
         boolean mayCome = false;
         for (int i = 0; i < START_TRIES; i++)
         {
-            StartOrder order = startOrder(start);
+            StartCommand order = startOrder(start);
             if (order == null)
             {
                 takeBack(start, mayCome);
                 return;
             }
-            OrderAnswer answer = port.start(order, ORDER_MILLIS);
-            if (answer.result() == OrderResult.UNKNOWN)
+            CommandReply answer = port.start(order, ORDER_MILLIS);
+            if (answer.result() == CommandResult.UNKNOWN)
             {
                 mayCome = true;
                 noteUnanswered(order);
             }
-            else if (answer.result() != OrderResult.NOT_SENT)
+            else if (answer.result() != CommandResult.NOT_SENT)
             {
                 settleStart(start, answer, mayCome);
                 return;
@@ -73,20 +73,20 @@
         stopInstead(start);
     }
 
-    private void noteUnanswered(StartOrder order)
+    private void noteUnanswered(StartCommand order)
     {
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
-            term.ledger().slots().unansweredStarts().add(slot, order.task(), order.run(),
+            term.cellState().slots().unansweredStarts().add(slot, order.task(), order.run(),
                     SteadyClock.nanos());
         }
         term.events().record(EventType.ORDER_UNANSWERED, order.task(), "start on " + slot.id());
     }
 
     /** The order for a start; null if it is no longer wanted or may not be sent. */
-    private StartOrder startOrder(Planner.Start start)
+    private StartCommand startOrder(Planner.Start start)
     {
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
             if (!isWanted(start) || obstacle() != null)
             {
@@ -95,8 +95,8 @@
             Task task = start.task();
             task.sent();
             long deadline = slot.deadlineIn(WorkerSession.LEASE_MILLIS, SteadyClock.nanos());
-            return new StartOrder(task.name(), start.run(), task.step().job().record().job().spec(), deadline,
-                    term.lease().fence(), start.checkpoint(), newestTicket(start));
+            return new StartCommand(task.name(), start.run(), task.step().job().record().job().spec(),
+                    deadline, term.lease().fence(), start.checkpoint(), newestTicket(start));
         }
     }
 
@@ -110,7 +110,7 @@
         {
             return null;
         }
-        return term.desk().ticket(start.task().step(), slot).orElse(start.ticket());
+        return term.adviceCache().ticket(start.task().step(), slot).orElse(start.ticket());
     }
 
     /**
@@ -120,15 +120,15 @@
      */
     private String obstacle()
     {
-        if (!term.lease().mayOrder())
+        if (!term.lease().maySendCommands())
         {
             return "the term is not confirmed";
         }
-        if (slot.isLapsing())
+        if (slot.isLeaseExpiring())
         {
             return "the worker is silent";
         }
-        return slot.isOverfull() ? "the worker's room has shrunk" : null;
+        return slot.isOvercommitted() ? "the worker's room has shrunk" : null;
     }
 
     /** Whether the task still is to be started here; called under the ledger's lock. */
@@ -141,9 +141,9 @@
     /** Whether a start's ticket lapsed while its placement was being written. */
     private boolean hasTicketLapsed(Planner.Start start)
     {
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
-            return start.ticket() != null && term.desk().ticket(start.task().step(), slot).isEmpty();
+            return start.ticket() != null && term.adviceCache().ticket(start.task().step(), slot).isEmpty();
         }
     }
 
@@ -154,9 +154,9 @@
     private void takeBack(Planner.Start start, boolean mayCome) throws InterruptedException
     {
         String why;
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
-            if (!isWanted(start) || term.lease().isOver())
+            if (!isWanted(start) || term.lease().hasEnded())
             {
                 return;
             }
@@ -174,7 +174,7 @@
     private void decideAnew(Planner.Start start, String why)
     {
         Effects effects = new Effects();
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
             if (!isWanted(start))
             {
@@ -191,37 +191,37 @@
     /** Nothing of the task runs; a gang of which one member is missing is stopped. */
     private static void release(Task task, Effects effects)
     {
-        Ledger.release(task, effects);
+        CellState.release(task, effects);
         if (task.step().spec().gang())
         {
             task.step().stopAll(effects);
         }
     }
 
-    private void settleStart(Planner.Start start, OrderAnswer answer, boolean mayCome)
+    private void settleStart(Planner.Start start, CommandReply answer, boolean mayCome)
             throws InterruptedException
     {
-        OrderResult result = answer.result();
+        CommandResult result = answer.result();
         Task task = start.task();
         term.events().record(EventType.TASK_STARTED, task.name(),
                 "run " + start.run() + " on " + slot.id() + ": " + result);
-        if (result == OrderResult.FENCED)
+        if (result == CommandResult.FENCED)
         {
-            term.fencedBy(slot);
+            term.onFenced(slot);
             return;
         }
-        if (result == OrderResult.OTHER_LIFE)
+        if (result == CommandResult.OTHER_LIFE)
         {
-            term.otherLife(slot);
+            term.onIncarnationChanged(slot);
             return;
         }
-        if (result != OrderResult.DONE && mayCome)
+        if (result != CommandResult.DONE && mayCome)
         {
             stopInstead(start);
             return;
         }
         Effects effects = new Effects();
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
             long now = SteadyClock.nanos();
             slot.readClock(answer.clockMillis(), now);
@@ -229,7 +229,7 @@
             {
                 return;
             }
-            if (result == OrderResult.DONE)
+            if (result == CommandResult.DONE)
             {
                 task.startAnswered(now);
                 return;
@@ -240,16 +240,16 @@
         term.wake();
     }
 
-    private void refused(Task task, OrderResult result, long now, Effects effects)
+    private void refused(Task task, CommandResult result, long now, Effects effects)
     {
         release(task, effects);
-        if (result == OrderResult.BAD_TICKET)
+        if (result == CommandResult.BAD_TICKET)
         {
-            term.desk().drop(task.step(), slot);
+            term.adviceCache().drop(task.step(), slot);
         }
         else
         {
-            slot.health().refused(now);
+            slot.health().recordRefusal(now);
         }
     }
 
@@ -257,9 +257,9 @@
     private void stopInstead(Planner.Start start) throws InterruptedException
     {
         Effects effects = new Effects();
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
-            slot.health().refused(SteadyClock.nanos());
+            slot.health().recordRefusal(SteadyClock.nanos());
             if (isWanted(start))
             {
                 effects.stop(start.task());
@@ -272,14 +272,14 @@
     }
 
     /** Lets tasks that fill the room of others work less or more. */
-    void adjustPaces()
+    void adjustSpeedLimits()
     {
-        List<PaceKeeper.Change> changes;
-        synchronized (term.ledger())
+        List<ThrottleController.Change> changes;
+        synchronized (term.cellState())
         {
-            changes = PaceKeeper.adjust(slot, SteadyClock.nanos());
+            changes = ThrottleController.adjust(slot, SteadyClock.nanos());
         }
-        for (PaceKeeper.Change change : changes)
+        for (ThrottleController.Change change : changes)
         {
             term.events().record(EventType.TASK_PACED, change.task().name(),
                     "run " + change.run() + " on " + slot.id() + " to " + change.percent() + " %");
@@ -287,11 +287,11 @@
         }
     }
 
-    private void pace(PaceKeeper.Change change) throws InterruptedException
+    private void pace(ThrottleController.Change change) throws InterruptedException
     {
         for (int i = 0; i < START_TRIES; i++)
         {
-            OrderAnswer answer = port.pace(change.task().name(), change.run(), change.percent(),
+            CommandReply answer = port.throttle(change.task().name(), change.run(), change.percent(),
                     term.lease().fence(), ORDER_MILLIS);
             if (answer.result().isSettled())
             {
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerHealth.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerHealth.java
@@ -25,7 +25,7 @@
     private long inTimeUntilNanos = Long.MIN_VALUE;
 
     /** A run ended well. */
-    void succeeded()
+    void recordSuccess()
     {
         failedJobs.clear();
         proven = true;
@@ -33,7 +33,7 @@
     }
 
     /** A run failed. */
-    void failed(String job, long nowNanos)
+    void recordFailure(String job, long nowNanos)
     {
         failedJobs.add(job);
         proven = false;
@@ -44,31 +44,31 @@
     }
 
     /** It refused an order or left it unanswered. */
-    void refused(long nowNanos)
+    void recordRefusal(long nowNanos)
     {
         avoidUntilNanos = Math.max(avoidUntilNanos, nowNanos + REFUSED_MILLIS * NANOS_PER_MILLI);
     }
 
     /** A run stood still there. */
-    void stoodStill(long nowNanos)
+    void recordStall(long nowNanos)
     {
         proven = false;
         avoidUntilNanos = nowNanos + SUSPECT_MILLIS * NANOS_PER_MILLI;
     }
 
     /** A run there takes about as long as others of its step take elsewhere. */
-    void inTime(long nowNanos)
+    void recordOnTime(long nowNanos)
     {
         inTimeUntilNanos = nowNanos + IN_TIME_MILLIS * NANOS_PER_MILLI;
     }
 
-    boolean wasInTime(long nowNanos)
+    boolean wasOnTime(long nowNanos)
     {
         return nowNanos < inTimeUntilNanos;
     }
 
     /** Everything takes much longer there than elsewhere. */
-    void slow(long nowNanos)
+    void recordSlow(long nowNanos)
     {
         proven = false;
         avoidUntilNanos = nowNanos + SUSPECT_MILLIS * NANOS_PER_MILLI;
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerEnd.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerLossCause.java
@@ -5,7 +5,7 @@
 package org.gaugehollow.schedule;
 
 /** How it is known that nothing of a worker's runs is left. */
-enum WorkerEnd
+enum WorkerLossCause
 {
     /** Another life answers at its address, though it had not said that it leaves. */
     CRASHED("another life answers at its address"),
@@ -16,13 +16,13 @@
 
     private final String evidence;
 
-    WorkerEnd(String evidence)
+    WorkerLossCause(String evidence)
     {
         this.evidence = evidence;
     }
 
     /** What shows it, for the log. */
-    String evidence()
+    String description()
     {
         return evidence;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerRating.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerRating.java
@@ -5,7 +5,7 @@
 package org.gaugehollow.schedule;
 
 import org.gaugehollow.job.StepSpec;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.placement.WorkerScore;
 
 /**
@@ -36,10 +36,10 @@
      * @param nowNanos the monotonic clock
      * @return the rating; lower is better
      */
-    double rating(Task task, WorkerSlot slot, int already, long nowNanos)
+    double rating(Task task, TrackedWorker slot, int already, long nowNanos)
     {
         StepSpec spec = task.step().spec();
-        Amounts needs = spec.needs();
+        ComputeResources needs = spec.needs();
         double rating = score.score(slot.entry().capacity(), slot.free().minus(needs.times(already)), needs);
         rating += slot.health().isAvoided(nowNanos) ? AVOIDED_WEIGHT : 0;
         rating += slot.health().hasFailures() ? FAILURE_WEIGHT : 0;
@@ -58,7 +58,7 @@
      * What a crash of a worker would cost: the part of it that is at work, and one more where something
      * has just begun, of which a crash could not be told apart.
      */
-    private static double atStake(WorkerSlot slot)
+    private static double atStake(TrackedWorker slot)
     {
         int capacity = Math.max(1, slot.entry().capacity().cpuMillis());
         double used = (double) slot.used().cpuMillis() / capacity;
@@ -67,14 +67,14 @@
         return used + (hasBegun ? 1 : 0);
     }
 
-    private static boolean sharesRack(Step step, WorkerSlot slot)
+    private static boolean sharesRack(Step step, TrackedWorker slot)
     {
         return step.tasks().stream().filter(Task::occupies).allMatch(other -> other.worker().entry() != null
                 && other.worker().entry().rack().equals(slot.entry().rack()));
     }
 
     /** Whether tasks that fill and tasks that serve would share the worker. */
-    private static boolean disturbs(StepSpec spec, WorkerSlot slot)
+    private static boolean disturbs(StepSpec spec, TrackedWorker slot)
     {
         if (!spec.fills() && spec.targetMillis() == 0)
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerSession.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerSession.java
@@ -13,9 +13,9 @@
 import org.gaugehollow.event.EventType;
 import org.gaugehollow.supervise.SupervisedTask;
 import org.gaugehollow.time.SteadyClock;
-import org.gaugehollow.worker.HoldAnswer;
-import org.gaugehollow.worker.HoldAnswer.EndedRun;
-import org.gaugehollow.worker.HoldOrder;
+import org.gaugehollow.worker.HeartbeatReply;
+import org.gaugehollow.worker.HeartbeatReply.EndedRun;
+import org.gaugehollow.worker.HeartbeatRequest;
 import org.gaugehollow.worker.WorkerPort;
 
 /**
@@ -39,25 +39,25 @@
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final OwnerTerm term;
-    private final WorkerSlot slot;
+    private final TrackedWorker slot;
     private final WorkerPort port;
-    private final WorkerOrders orders;
+    private final WorkerCommands orders;
     private CompletableFuture<Void> recording = CompletableFuture.completedFuture(null);
     private long lastSeen;
     private long recordingUpTo;
     private boolean reachable = true;
     private boolean answered;
 
-    WorkerSession(OwnerTerm term, WorkerSlot slot, WorkerPort port)
+    WorkerSession(OwnerTerm term, TrackedWorker slot, WorkerPort port)
     {
         this.term = term;
         this.slot = slot;
         this.port = port;
-        this.orders = new WorkerOrders(term, slot, port);
+        this.orders = new WorkerCommands(term, slot, port);
     }
 
     /** The orders to the worker. */
-    WorkerOrders orders()
+    WorkerCommands orders()
     {
         return orders;
     }
@@ -66,7 +66,7 @@
     public void run() throws InterruptedException
     {
         boolean ended = false;
-        while (!ended && !term.lease().isOver())
+        while (!ended && !term.lease().hasEnded())
         {
             ended = lookIfConfirmed();
         }
@@ -78,7 +78,7 @@
      */
     private boolean lookIfConfirmed() throws InterruptedException
     {
-        if (term.lease().mayOrder())
+        if (term.lease().maySendCommands())
         {
             return lookOnce();
         }
@@ -90,19 +90,19 @@
     private boolean lookOnce() throws InterruptedException
     {
         boolean blocked = awaitRecords();
-        HoldOrder order = holdOrder(blocked);
+        HeartbeatRequest order = holdOrder(blocked);
         long sentNanos = SteadyClock.nanos();
         int timeoutMillis = order.waitMillis() + HOLD_SLACK_MILLIS;
-        HoldAnswer answer = port.hold(order, timeoutMillis);
+        HeartbeatReply answer = port.heartbeat(order, timeoutMillis);
         switch (answer.result())
         {
             case DONE -> took(answer, sentNanos);
             case FENCED -> {
-                term.fencedBy(slot);
+                term.onFenced(slot);
                 return true;
             }
             case OTHER_LIFE -> {
-                term.otherLife(slot);
+                term.onIncarnationChanged(slot);
                 return true;
             }
             case NOT_SENT -> Thread.sleep(RETRY_MILLIS);
@@ -111,7 +111,7 @@
                 noteMiss(SteadyClock.nanos() - sentNanos < timeoutMillis * NANOS_PER_MILLI);
                 if (isUnlistedAndIdle())
                 {
-                    term.sessionOver(slot);
+                    term.onSessionEnded(slot);
                     return true;
                 }
                 Thread.sleep(RETRY_MILLIS);
@@ -122,7 +122,7 @@
 
     private boolean isUnlistedAndIdle()
     {
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
             return slot.entry() == null && slot.isIdle();
         }
@@ -132,13 +132,13 @@
      * A look renews the worker's lease only if the one before was answered. Else the lease of a worker
      * that is gone would never be known to be over: each look may have arrived.
      */
-    private HoldOrder holdOrder(boolean blocked)
+    private HeartbeatRequest holdOrder(boolean blocked)
     {
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
             long deadline = reachable ? slot.deadlineIn(LEASE_MILLIS, SteadyClock.nanos()) : LEAVE_LEASE;
-            boolean first = !slot.held();
-            return new HoldOrder(term.lease().fence(), lastSeen, deadline,
+            boolean first = !slot.isLeaseHeld();
+            return new HeartbeatRequest(term.lease().fence(), lastSeen, deadline,
                     blocked || first ? 0 : waitMillis());
         }
     }
@@ -150,21 +150,21 @@
      */
     private int waitMillis()
     {
-        if (slot.hasForeignRuns() || term.ledger().crashGuard().trials().contains(slot)
-                || PaceKeeper.isShared(slot))
+        if (slot.hasOrphanRuns() || term.cellState().crashGuard().isolationWorkers().contains(slot)
+                || ThrottleController.isShared(slot))
         {
             return SHORT_WAIT_MILLIS;
         }
         return slot.isIdle() ? IDLE_WAIT_MILLIS : BUSY_WAIT_MILLIS;
     }
 
-    private void took(HoldAnswer answer, long sentNanos)
+    private void took(HeartbeatReply answer, long sentNanos)
     {
         if (!answered)
         {
             answered = true;
-            term.endOtherLives(slot, sentNanos);
-            orders.stops().barStartsForEarlierLives();
+            term.endOtherIncarnations(slot, sentNanos);
+            orders.stops().blockStartsForEarlierIncarnations();
         }
         boolean isBack = !reachable;
         noteReach(true, () -> "a look ended as " + answer.result() + "; " + account(answer));
@@ -174,17 +174,17 @@
             newest = Math.max(newest, end.number());
         }
         Effects effects;
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
             // Ends that this session has read before are in its recording already.
-            effects = term.ledger().look(slot, answer, recordingUpTo, sentNanos);
+            effects = term.cellState().applyHeartbeat(slot, answer, recordingUpTo, sentNanos);
         }
         if (isBack)
         {
-            term.workerIsBack();
+            term.onWorkerRecovered();
         }
         term.logEnds(slot, answer, recordingUpTo);
-        orders.adjustPaces();
+        orders.adjustSpeedLimits();
         orders.stops().sendOpen();
         CompletableFuture<Void> written = new CompletableFuture<>();
         term.apply(effects, () -> written.complete(null));
@@ -222,12 +222,12 @@
     }
 
     /** What a worker that is back shows beside what was known of it. */
-    private String account(HoldAnswer answer)
+    private String account(HeartbeatReply answer)
     {
         String ends = answer.ended().isEmpty()
                 ? "no ends"
                 : "ends from " + answer.ended().getFirst().number();
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
             return "it shows " + answer.running().size() + " runs and " + ends + " at " + answer.clockMillis()
                     + " of its clock, " + slot.tasks().size() + " runs and ends up to " + recordingUpTo
@@ -237,7 +237,7 @@
 
     private String leaseLeft()
     {
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
             long left = (slot.leaseEndNanos() - SteadyClock.nanos()) / NANOS_PER_MILLI;
             return "the lease of its " + slot.tasks().size() + " runs is over in " + left + " ms";
@@ -246,9 +246,9 @@
 
     private void noteMiss(boolean broken)
     {
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
-            slot.missed(SteadyClock.nanos(), broken);
+            slot.recordMissedHeartbeat(SteadyClock.nanos(), broken);
         }
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerRoster.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerSessions.java
@@ -24,7 +24,7 @@
  * name, opens no session. A worker whose entry turns bad keeps its session, so that its runs are
  * looked after, and gets nothing new.
  */
-final class WorkerRoster implements KeyFollower.Listener, AutoCloseable
+final class WorkerSessions implements KeyFollower.Listener, AutoCloseable
 {
     /** Refused entries that are logged in a term at most; a writer may go on for ever. */
     private static final int MOST_REFUSALS = 200;
@@ -55,7 +55,7 @@
      * @param supervisor parent of the sessions
      * @param config the newest configuration
      */
-    WorkerRoster(OwnerTerm term, CellPlatform platform, Supervisor supervisor, Supplier<CellConfig> config)
+    WorkerSessions(OwnerTerm term, CellPlatform platform, Supervisor supervisor, Supplier<CellConfig> config)
     {
         this.term = term;
         this.platform = platform;
@@ -70,7 +70,7 @@
     }
 
     @Override
-    public void put(String key, byte[] value, long revision)
+    public void onPut(String key, byte[] value, long revision)
     {
         String worker = platform.workerId(key);
         if (isReadAlready(worker, revision))
@@ -82,7 +82,7 @@
             WorkerEntry entry = platform.readWorker(key, value);
             if (list(entry))
             {
-                String life = entry.life().text();
+                String life = entry.incarnation().text();
                 Reading before = readings.put(worker, new Reading(revision, life, false));
                 unlistIfReplaced(before, life);
             }
@@ -117,21 +117,21 @@
      */
     private boolean list(WorkerEntry entry)
     {
-        WorkerSlot slot;
-        String life = entry.life().text();
-        synchronized (term.ledger())
+        TrackedWorker slot;
+        String life = entry.incarnation().text();
+        synchronized (term.cellState())
         {
-            boolean isKnown = term.ledger().worker(life).isPresent();
+            boolean isKnown = term.cellState().worker(life).isPresent();
             if (!isKnown && !config.get().mayHaveService(entry.service()))
             {
                 return false;
             }
-            slot = term.ledger().list(entry);
+            slot = term.cellState().list(entry);
         }
         if (!sessions.containsKey(life))
         {
             WorkerSession session = new WorkerSession(term, slot,
-                    platform.openWorker(entry, term.lease()::mayOrder));
+                    platform.openWorker(entry, term.lease()::maySendCommands));
             sessions.put(life, session);
             supervisor.start("worker-" + life, session);
         }
@@ -143,9 +143,9 @@
     {
         if (life != null)
         {
-            synchronized (term.ledger())
+            synchronized (term.cellState())
             {
-                term.ledger().worker(life).ifPresent(WorkerSlot::unlisted);
+                term.cellState().worker(life).ifPresent(TrackedWorker::unlisted);
             }
         }
         refusals++;
@@ -157,7 +157,7 @@
     }
 
     @Override
-    public void removed(String key, long revision)
+    public void onRemoved(String key, long revision)
     {
         Reading reading = readings.remove(platform.workerId(key));
         if (reading != null && reading.life() != null)
@@ -169,11 +169,11 @@
     /** The list names a life no more; its session goes on while it holds something. */
     private void unlist(String life)
     {
-        WorkerSlot slot;
+        TrackedWorker slot;
         boolean idle;
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
-            slot = term.ledger().worker(life).orElse(null);
+            slot = term.cellState().worker(life).orElse(null);
             idle = slot != null && slot.isIdle();
             if (slot != null)
             {
@@ -190,7 +190,7 @@
      * A life is over. While the list still names it, its session is kept, so that the entry opens no
      * other.
      */
-    void over(WorkerSlot slot)
+    void over(TrackedWorker slot)
     {
         Reading reading = readings.get(slot.worker());
         boolean isListed = reading != null && slot.id().equals(reading.life());
@@ -201,7 +201,7 @@
     }
 
     @Override
-    public void listed(long revision)
+    public void onListed(long revision)
     {
         term.wake();
     }
@@ -209,11 +209,11 @@
     /**
      * Ends the session with a worker that holds nothing; an entry that is still listed opens another.
      */
-    void forget(WorkerSlot slot)
+    void forget(TrackedWorker slot)
     {
-        synchronized (term.ledger())
+        synchronized (term.cellState())
         {
-            term.ledger().slots().unlist(slot);
+            term.cellState().slots().unlist(slot);
         }
         WorkerSession session = sessions.remove(slot.id());
         if (session != null)
--- a/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamClient.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamClient.java
@@ -10,7 +10,7 @@
 
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.EventType;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
@@ -80,7 +80,7 @@
     public HttpReply run(UpstreamRequest request, long epoch, long deadlineNanos, BooleanSupplier maySend)
             throws InterruptedException
     {
-        HttpConnection connection = connections.take(connectMillis(deadlineNanos));
+        HttpConnection connection = connections.acquire(connectMillis(deadlineNanos));
         boolean keep = false;
         try
         {
@@ -97,7 +97,7 @@
         }
         finally
         {
-            connections.giveBack(connection, keep);
+            connections.release(connection, keep);
         }
     }
 
@@ -156,7 +156,7 @@
         return new HttpMessage("POST", request.path(), "", headers, request.body());
     }
 
-    private static String needsText(Amounts needs)
+    private static String needsText(ComputeResources needs)
     {
         return "slots=" + needs.slots() + ";cpuMillis=" + needs.cpuMillis() + ";memoryMib="
                 + needs.memoryMib() + ";accelerators=" + needs.accelerators();
--- a/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamHealth.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamHealth.java
@@ -27,7 +27,7 @@
     }
 
     /** A request was answered whole. */
-    public synchronized void answered()
+    public synchronized void recordSuccess()
     {
         failures = 0;
     }
@@ -37,7 +37,7 @@
      *
      * @return whether this took the upstream out
      */
-    public synchronized boolean failed()
+    public synchronized boolean recordFailure()
     {
         failures++;
         return failures >= FAILURES_OUT && takeOut();
@@ -48,7 +48,7 @@
      *
      * @return whether this took the upstream out
      */
-    public synchronized boolean unreachable()
+    public synchronized boolean recordUnreachable()
     {
         return takeOut();
     }
@@ -66,7 +66,7 @@
      *
      * @return whether it was out and is let back with this
      */
-    public synchronized boolean probed()
+    public synchronized boolean recordProbe()
     {
         boolean wasOut = allowedSlots == 0;
         allowedSlots = wasOut ? 1 : Math.min(allSlots, allowedSlots * 2);
--- a/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamRequest.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamRequest.java
@@ -4,7 +4,7 @@
  */
 package org.gaugehollow.upstream;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /**
  * A request for an upstream.
@@ -17,7 +17,7 @@
  * @param contentType the body's media type
  * @param body the body
  */
-public record UpstreamRequest(String task, String team, String key, String path, Amounts needs,
+public record UpstreamRequest(String task, String team, String key, String path, ComputeResources needs,
         String contentType, byte[] body)
 {
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamTask.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamTask.java
@@ -4,7 +4,7 @@
  */
 package org.gaugehollow.upstream;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /**
  * A task that an upstream says it runs.
@@ -13,6 +13,6 @@
  * @param epoch the epoch it was started with
  * @param needs what it takes
  */
-public record UpstreamTask(String task, long epoch, Amounts needs)
+public record UpstreamTask(String task, long epoch, ComputeResources needs)
 {
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/OrderAnswer.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/CommandReply.java
@@ -10,6 +10,6 @@
  * @param result what became of it
  * @param clockMillis the worker's clock when it answered, 0 if it did not say
  */
-public record OrderAnswer(OrderResult result, long clockMillis)
+public record CommandReply(CommandResult result, long clockMillis)
 {
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/OrderResult.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/CommandResult.java
@@ -5,7 +5,7 @@
 package org.gaugehollow.worker;
 
 /** What became of an order to a worker. */
-public enum OrderResult
+public enum CommandResult
 {
     /** Carried out. */
     DONE,
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/HoldAnswer.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/HeartbeatReply.java
@@ -9,12 +9,13 @@
 /**
  * What a worker answers to a hold.
  *
- * @param result {@link OrderResult#DONE} where the lists are valid
+ * @param result {@link CommandResult#DONE} where the lists are valid
  * @param clockMillis the worker's clock when it answered
  * @param running what runs there
  * @param ended ends that were not yet taken note of
  */
-public record HoldAnswer(OrderResult result, long clockMillis, List<RunningRun> running, List<EndedRun> ended)
+public record HeartbeatReply(CommandResult result, long clockMillis, List<RunningRun> running,
+        List<EndedRun> ended)
 {
     /**
      * A run that is there.
@@ -47,8 +48,8 @@
      * @param result why there is no valid answer
      * @return an answer without lists
      */
-    public static HoldAnswer refused(OrderResult result)
+    public static HeartbeatReply refused(CommandResult result)
     {
-        return new HoldAnswer(result, 0, List.of(), List.of());
+        return new HeartbeatReply(result, 0, List.of(), List.of());
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/HoldOrder.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/HeartbeatRequest.java
@@ -8,11 +8,11 @@
  * An order that renews the lease of all that runs on a worker and asks what runs and what ended.
  *
  * @param fence the owner's fencing token
- * @param lastSeen the number of the last end that was taken note of
+ * @param lastAckedEnd the number of the last end that was taken note of
  * @param deadline until when the worker may run what it runs, on its clock in milliseconds; 0 to
  *            leave it
  * @param waitMillis how long the answer may wait for an end
  */
-public record HoldOrder(long fence, long lastSeen, long deadline, int waitMillis)
+public record HeartbeatRequest(long fence, long lastAckedEnd, long deadline, int waitMillis)
 {
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/StartOrder.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/StartCommand.java
@@ -15,7 +15,7 @@
  * @param checkpoint saved state to go on from, or null
  * @param ticket the advice service's ticket, or null
  */
-public record StartOrder(String task, int run, String spec, long deadline, long fence, String checkpoint,
+public record StartCommand(String task, int run, String spec, long deadline, long fence, String checkpoint,
         String ticket)
 {
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/WorkerEntry.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/WorkerEntry.java
@@ -6,12 +6,12 @@
 
 import java.util.Set;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /**
  * A worker as the platform lists it.
  *
- * @param life the life that wrote the entry
+ * @param incarnation the life that wrote the entry
  * @param service the service it belongs to
  * @param address where it takes orders, IP number and port
  * @param hall the data hall
@@ -21,7 +21,7 @@
  * @param labels its labels, the rack among them
  * @param rack the rack it stands in, or an empty text
  */
-public record WorkerEntry(WorkerLife life, String service, String address, String hall, boolean draining,
-        long remainingMillis, Amounts capacity, Set<String> labels, String rack)
+public record WorkerEntry(WorkerIncarnation incarnation, String service, String address, String hall,
+        boolean draining, long remainingMillis, ComputeResources capacity, Set<String> labels, String rack)
 {
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/WorkerLife.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/WorkerIncarnation.java
@@ -12,12 +12,12 @@
  * then knows nothing of the life before, and its end numbers and its clock begin anew.
  *
  * @param worker the worker's id
- * @param born when the life began, in Unix milliseconds, or {@link #NOT_TOLD}
+ * @param startedMillis when the life began, in Unix milliseconds, or {@link #START_UNKNOWN}
  */
-public record WorkerLife(String worker, long born)
+public record WorkerIncarnation(String worker, long startedMillis)
 {
     /** The worker does not tell when it started; its id then stands for one life alone. */
-    public static final long NOT_TOLD = -1;
+    public static final long START_UNKNOWN = -1;
 
     private static final char SEPARATOR = '@';
     private static final Pattern TEXT = Pattern.compile("(.*)" + SEPARATOR + "(\\d{1,18})");
@@ -26,27 +26,27 @@
      * @param worker the id of a worker that does not tell when it started
      * @return its only life
      */
-    public static WorkerLife only(String worker)
+    public static WorkerIncarnation withUnknownStart(String worker)
     {
-        return new WorkerLife(worker, NOT_TOLD);
+        return new WorkerIncarnation(worker, START_UNKNOWN);
     }
 
     /**
      * @param text what {@link #text} returned
      * @return the life
      */
-    public static WorkerLife parse(String text)
+    public static WorkerIncarnation parse(String text)
     {
         Matcher matcher = TEXT.matcher(text);
         return matcher.matches()
-                ? new WorkerLife(matcher.group(1), Long.parseLong(matcher.group(2)))
-                : only(text);
+                ? new WorkerIncarnation(matcher.group(1), Long.parseLong(matcher.group(2)))
+                : withUnknownStart(text);
     }
 
     /** @return whether the worker tells when it started */
-    public boolean tellsBirth()
+    public boolean hasStartTime()
     {
-        return born != NOT_TOLD;
+        return startedMillis != START_UNKNOWN;
     }
 
     /**
@@ -54,6 +54,6 @@
      */
     public String text()
     {
-        return tellsBirth() ? worker + SEPARATOR + born : worker;
+        return hasStartTime() ? worker + SEPARATOR + startedMillis : worker;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/WorkerPort.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/WorkerPort.java
@@ -6,7 +6,7 @@
 
 /**
  * The orders that one life of a worker takes. Each call waits for its answer; a call without an
- * answer in time ends as {@link OrderResult#UNKNOWN} and never throws for the worker's sake.
+ * answer in time ends as {@link CommandResult#UNKNOWN} and never throws for the worker's sake.
  */
 public interface WorkerPort extends AutoCloseable
 {
@@ -16,7 +16,7 @@
      * @return what became of it
      * @throws InterruptedException if the process stops
      */
-    OrderAnswer start(StartOrder order, int timeoutMillis) throws InterruptedException;
+    CommandReply start(StartCommand order, int timeoutMillis) throws InterruptedException;
 
     /**
      * @param task the task's full name
@@ -26,7 +26,7 @@
      * @return what became of it
      * @throws InterruptedException if the process stops
      */
-    OrderAnswer stop(String task, int run, long fence, int timeoutMillis) throws InterruptedException;
+    CommandReply stop(String task, int run, long fence, int timeoutMillis) throws InterruptedException;
 
     /**
      * @param task the task's full name
@@ -37,7 +37,7 @@
      * @return what became of it
      * @throws InterruptedException if the process stops
      */
-    OrderAnswer pace(String task, int run, int percent, long fence, int timeoutMillis)
+    CommandReply throttle(String task, int run, int percent, long fence, int timeoutMillis)
             throws InterruptedException;
 
     /**
@@ -46,7 +46,7 @@
      * @return what runs there and what ended
      * @throws InterruptedException if the process stops
      */
-    HoldAnswer hold(HoldOrder order, int timeoutMillis) throws InterruptedException;
+    HeartbeatReply heartbeat(HeartbeatRequest order, int timeoutMillis) throws InterruptedException;
 
     @Override
     void close();
--- a/gaugehollow/src/test/java/org/gaugehollow/box/BoxRegistryTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/BoxRegistryTest.java
@@ -18,7 +18,7 @@
 import org.gaugehollow.peer.PeerDirectory;
 import org.gaugehollow.peer.PeerLink;
 import org.gaugehollow.platform.FakeStore;
-import org.gaugehollow.schedule.AdviceLines;
+import org.gaugehollow.schedule.AdviceDispatcher;
 import org.gaugehollow.worker.Advice;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -31,8 +31,8 @@
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
     private final NetLoops loops = new NetLoops(Optional.empty());
     private final PeerDirectory directory = new PeerDirectory(loops, events, new Metrics());
-    private final AdviceLines lines = new AdviceLines((step, workers, timeout) -> new Advice(List.of(), 0),
-            events);
+    private final AdviceDispatcher lines = new AdviceDispatcher(
+            (step, workers, timeout) -> new Advice(List.of(), 0), events);
     private final BoxRegistry registry = new BoxRegistry("self", new BoxRegistry.Entry("127.0.0.1:2", 700),
             new FakeStore(), directory, lines, events);
 
@@ -46,43 +46,43 @@
     @Test
     void theLinkToABoxThatStartedAgainOutlivesTheEndOfItsRegistrationBefore()
     {
-        registry.put(JobKeys.BOXES + "a~1", ADDRESS, 1);
-        registry.put(JobKeys.BOXES + "a~2", ADDRESS, 2);
+        registry.onPut(JobKeys.BOXES + "a~1", ADDRESS, 1);
+        registry.onPut(JobKeys.BOXES + "a~2", ADDRESS, 2);
         PeerLink link = directory.link("127.0.0.1:1");
-        registry.removed(JobKeys.BOXES + "a~1", 3);
+        registry.onRemoved(JobKeys.BOXES + "a~1", 3);
         assertThat(directory.link("127.0.0.1:1")).isSameInstanceAs(link);
     }
 
     @Test
     void aLifeThatIsListedAfterALaterOneOfTheSameBoxIsNotTakenForIt()
     {
-        registry.put(JobKeys.BOXES + "a~2", ADDRESS, 2);
-        registry.put(JobKeys.BOXES + "a~1", ADDRESS, 1);
+        registry.onPut(JobKeys.BOXES + "a~2", ADDRESS, 2);
+        registry.onPut(JobKeys.BOXES + "a~1", ADDRESS, 1);
         assertThat(registry.peers()).containsExactly("a~2");
-        registry.removed(JobKeys.BOXES + "a~1", 3);
+        registry.onRemoved(JobKeys.BOXES + "a~1", 3);
         assertThat(registry.peers()).containsExactly("a~2");
     }
 
     @Test
     void anEarlierLifeOfThisBoxIsNoPeer()
     {
-        registry.put(JobKeys.BOXES + "self~0", Json.write(new BoxRegistry.Entry("127.0.0.1:2", 700)), 1);
+        registry.onPut(JobKeys.BOXES + "self~0", Json.write(new BoxRegistry.Entry("127.0.0.1:2", 700)), 1);
         assertThat(registry.peers()).isEmpty();
     }
 
     @Test
     void theLinkToABoxThatIsGoneIsClosed()
     {
-        registry.put(JobKeys.BOXES + "a~1", ADDRESS, 1);
+        registry.onPut(JobKeys.BOXES + "a~1", ADDRESS, 1);
         PeerLink link = directory.link("127.0.0.1:1");
-        registry.removed(JobKeys.BOXES + "a~1", 2);
+        registry.onRemoved(JobKeys.BOXES + "a~1", 2);
         assertThat(directory.link("127.0.0.1:1")).isNotSameInstanceAs(link);
     }
 
     @Test
     void aStrongerBoxOutranksThisOneOnceItHasBeenThereForAWhile() throws InterruptedException
     {
-        registry.put(JobKeys.BOXES + "a~1", ADDRESS, 1);
+        registry.onPut(JobKeys.BOXES + "a~1", ADDRESS, 1);
         assertThat(registry.isOutranked("")).isFalse();
         Thread.sleep(1_100);
         assertThat(registry.isOutranked("")).isTrue();
@@ -92,22 +92,22 @@
     @Test
     void aBoxIsTheElderOfThoseThatRegisteredLaterAndCanDoAsMuch() throws InterruptedException
     {
-        registry.put(JobKeys.BOXES + "b~1", ADDRESS, 1);
-        registry.put(JobKeys.BOXES + "self", Json.write(new BoxRegistry.Entry("127.0.0.1:2", 700)), 2);
+        registry.onPut(JobKeys.BOXES + "b~1", ADDRESS, 1);
+        registry.onPut(JobKeys.BOXES + "self", Json.write(new BoxRegistry.Entry("127.0.0.1:2", 700)), 2);
         Thread.sleep(1_100);
-        assertThat(registry.isElder("")).isFalse();
-        registry.put(JobKeys.BOXES + "weak~1", Json.write(new BoxRegistry.Entry("127.0.0.1:4", 300)), 3);
-        registry.put(JobKeys.BOXES + "like~1", Json.write(new BoxRegistry.Entry("127.0.0.1:3", 700)), 4);
-        assertThat(registry.isElder("")).isFalse();
+        assertThat(registry.isLongerRunning("")).isFalse();
+        registry.onPut(JobKeys.BOXES + "weak~1", Json.write(new BoxRegistry.Entry("127.0.0.1:4", 300)), 3);
+        registry.onPut(JobKeys.BOXES + "like~1", Json.write(new BoxRegistry.Entry("127.0.0.1:3", 700)), 4);
+        assertThat(registry.isLongerRunning("")).isFalse();
         Thread.sleep(1_100);
-        assertThat(registry.isElder("")).isTrue();
-        assertThat(registry.isElder("like~1")).isFalse();
+        assertThat(registry.isLongerRunning("")).isTrue();
+        assertThat(registry.isLongerRunning("like~1")).isFalse();
     }
 
     @Test
     void aBoxThatIsAboutAsStrongDoesNotOutrankThisOne() throws InterruptedException
     {
-        registry.put(JobKeys.BOXES + "a~1", Json.write(new BoxRegistry.Entry("127.0.0.1:1", 750)), 1);
+        registry.onPut(JobKeys.BOXES + "a~1", Json.write(new BoxRegistry.Entry("127.0.0.1:1", 750)), 1);
         Thread.sleep(1_100);
         assertThat(registry.isOutranked("")).isFalse();
     }
@@ -115,8 +115,8 @@
     @Test
     void aRegistrationThatCannotBeReadIsLeftOut()
     {
-        registry.put(JobKeys.BOXES + "a~1", new byte[]{'x'}, 1);
-        registry.put(JobKeys.BOXES + "b~1", ADDRESS, 2);
+        registry.onPut(JobKeys.BOXES + "a~1", new byte[]{'x'}, 1);
+        registry.onPut(JobKeys.BOXES + "b~1", ADDRESS, 2);
         assertThat(registry.peers()).containsExactly("b~1");
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/box/CustomersJobsTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/CustomersJobsTest.java
@@ -43,16 +43,16 @@
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
     private final FakeStore store = new FakeStore();
     private final JobIntake box = new JobIntake(new MonitoredStore(store, events, SteadyClock::nanos),
-            new JobNotices()
+            new JobListener()
             {
                 @Override
-                public void written(String job)
+                public void onJobWritten(String job)
                 {
                     // nobody waits for it here
                 }
 
                 @Override
-                public void cancelled(String job)
+                public void onJobCancelled(String job)
                 {
                     // nobody waits for it here
                 }
--- a/gaugehollow/src/test/java/org/gaugehollow/box/FreshConfigServiceTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/FreshConfigServiceTest.java
@@ -41,19 +41,19 @@
     private final ConfigProbe probe = new ConfigProbe(monitored, KEY, new KeyFollower.Listener()
     {
         @Override
-        public void put(String key, byte[] value, long revision)
+        public void onPut(String key, byte[] value, long revision)
         {
             config.set(new String(value, StandardCharsets.UTF_8));
         }
 
         @Override
-        public void removed(String key, long revision)
+        public void onRemoved(String key, long revision)
         {
             throw new AssertionError("nothing is removed here");
         }
 
         @Override
-        public void listed(long revision)
+        public void onListed(long revision)
         {
             throw new AssertionError("nothing is listed here");
         }
@@ -74,7 +74,7 @@
         {
             assertThrows(GaugehollowException.class, () -> monitored.get("other"));
         }
-        assertThat(monitored.isSilent()).isTrue();
+        assertThat(monitored.isUnresponsive()).isTrue();
     }
 
     private ResultCode refusal()
@@ -105,7 +105,7 @@
         store.setDown(false);
         write("new");
         monitored.get("other");
-        assertThat(monitored.isSilent()).isFalse();
+        assertThat(monitored.isUnresponsive()).isFalse();
         assertThat(refusal()).isEqualTo(ResultCode.CONFIG_MAY_BE_OLD);
         probe.read();
         assertThat(service.answer(REQUEST).status()).isEqualTo(200);
--- a/gaugehollow/src/test/java/org/gaugehollow/box/JobIntakeTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/JobIntakeTest.java
@@ -8,9 +8,9 @@
 import static org.junit.jupiter.api.Assertions.assertThrows;
 
 import java.nio.charset.StandardCharsets;
+import java.util.ArrayList;
 import java.util.List;
 import java.util.Map;
-import java.util.ArrayList;
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import java.util.concurrent.atomic.AtomicLong;
@@ -52,16 +52,16 @@
     private final FakeStore store = new FakeStore();
     private final List<String> written = new ArrayList<>();
     private final List<String> cancelled = new ArrayList<>();
-    private final JobNotices notices = new JobNotices()
+    private final JobListener notices = new JobListener()
     {
         @Override
-        public void written(String job)
+        public void onJobWritten(String job)
         {
             written.add(job);
         }
 
         @Override
-        public void cancelled(String job)
+        public void onJobCancelled(String job)
         {
             cancelled.add(job);
         }
@@ -120,12 +120,12 @@
     void theIdOfAJobThatIsOverStaysTaken() throws InterruptedException
     {
         box.submit(JobScope.of(QUEUE), ID, JOB, in(1_000));
-        JobRecord over = JobCodec.readRecord(store.get(JobKeys.job(ID)).orElseThrow().value()).whenOver();
+        JobRecord over = JobCodec.readRecord(store.get(JobKeys.job(ID)).orElseThrow().value()).toTombstone();
         store.commit(new StoreTransaction().put(JobKeys.job(ID), JobCodec.writeRecord(over)).put(
                 JobKeys.progress(ID),
                 JobCodec.writeProgress(new JobProgress(QUEUE.name(), JobState.COMPLETED, null))));
         otherBox.submit(JobScope.of(QUEUE), ID, JOB, in(1_000));
-        assertThat(JobCodec.readRecord(store.get(JobKeys.job(ID)).orElseThrow().value()).over()).isTrue();
+        assertThat(JobCodec.readRecord(store.get(JobKeys.job(ID)).orElseThrow().value()).hasEnded()).isTrue();
         assertThat(otherBox.state(JobScope.of(QUEUE), ID)).isEqualTo(JobState.COMPLETED);
         otherBox.cancel(JobScope.of(QUEUE), ID, in(1_000));
         assertThat(otherBox.state(JobScope.of(QUEUE), ID)).isEqualTo(JobState.COMPLETED);
@@ -204,7 +204,7 @@
             assertThat(codeOf(() -> intake.submit(JobScope.of(QUEUE), ID, JOB, in(1_000))))
                     .isEqualTo(ResultCode.STORE_UNAVAILABLE);
         }
-        assertThat(monitored.isSilent()).isTrue();
+        assertThat(monitored.isUnresponsive()).isTrue();
         store.setDown(false);
         assertThat(codeOf(() -> intake.submit(JobScope.of(QUEUE), ID, JOB, in(1_000))))
                 .isEqualTo(ResultCode.STORE_UNAVAILABLE);
--- a/gaugehollow/src/test/java/org/gaugehollow/box/NoNotices.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/NoNotices.java
@@ -5,16 +5,16 @@
 package org.gaugehollow.box;
 
 /** Tells nobody. */
-final class NoNotices implements JobNotices
+final class NoNotices implements JobListener
 {
     @Override
-    public void written(String job)
+    public void onJobWritten(String job)
     {
         // nobody is told
     }
 
     @Override
-    public void cancelled(String job)
+    public void onJobCancelled(String job)
     {
         // nobody is told
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/config/ConfigKeeperTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/config/ConfigCacheTest.java
@@ -21,14 +21,14 @@
 import org.junit.jupiter.api.Test;
 
 /** The configuration on a box only ever moves on, whichever way changes reach it. */
-class ConfigKeeperTest
+class ConfigCacheTest
 {
     private static ConfigEntry entry(String name, long revision, boolean deleted)
     {
         return new ConfigEntry(name, revision, deleted ? new byte[0] : new byte[]{(byte) revision}, deleted);
     }
 
-    private static Map<String, Long> state(ConfigKeeper keeper)
+    private static Map<String, Long> state(ConfigCache keeper)
     {
         Map<String, Long> state = new TreeMap<>();
         keeper.list("").forEach(e -> state.put(e.name(), e.revision()));
@@ -43,8 +43,8 @@
     void nothingRevertsAndAllAgreeInTheEnd(
             @ForAll @Size(min = 1, max = 60) List<@IntRange(max = 99) Integer> steps)
     {
-        ConfigKeeper store = new ConfigKeeper();
-        ConfigKeeper[] boxes = {new ConfigKeeper(), new ConfigKeeper()};
+        ConfigCache store = new ConfigCache();
+        ConfigCache[] boxes = {new ConfigCache(), new ConfigCache()};
         long revision = 1;
         for (int step : steps)
         {
@@ -60,20 +60,20 @@
             }
             else
             {
-                ConfigKeeper to = boxes[step % 2];
-                ConfigKeeper from = step < 80 ? store : boxes[(step + 1) % 2];
+                ConfigCache to = boxes[step % 2];
+                ConfigCache from = step < 80 ? store : boxes[(step + 1) % 2];
                 ConfigDelta delta = step % 5 == 0 ? from.since(0) : from.since(to.revision());
                 assertMonotone(to, () -> to.apply(delta));
             }
         }
-        for (ConfigKeeper box : boxes)
+        for (ConfigCache box : boxes)
         {
             assertMonotone(box, () -> box.apply(store.since(box.revision())));
             assertThat(state(box)).isEqualTo(state(store));
         }
     }
 
-    private static void assertMonotone(ConfigKeeper box, Runnable step)
+    private static void assertMonotone(ConfigCache box, Runnable step)
     {
         Map<String, Long> before = state(box);
         long revision = box.revision();
@@ -85,10 +85,10 @@
     @Test
     void aWatcherIsToldWhenChangesItHasNotSeenAreGone() throws InterruptedException
     {
-        ConfigKeeper keeper = new ConfigKeeper();
+        ConfigCache keeper = new ConfigCache();
         keeper.apply(new ConfigDelta(1, true, List.of(entry("teams/a", 1, false))));
         long revision = 1;
-        for (int i = 0; i < ConfigKeeper.HISTORY + 5; i++)
+        for (int i = 0; i < ConfigCache.HISTORY + 5; i++)
         {
             revision++;
             keeper.apply(new ConfigDelta(revision, false, List.of(entry("teams/a", revision, false))));
--- a/gaugehollow/src/test/java/org/gaugehollow/entry/KeyedRunnerTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/entry/KeyedRunnerTest.java
@@ -14,21 +14,21 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-import org.gaugehollow.config.ConfigKeeper;
+import org.gaugehollow.config.ConfigCache;
 import org.gaugehollow.config.StoreKeys;
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.HybridClock;
 import org.gaugehollow.event.Metrics;
-import org.gaugehollow.keys.KeyCopier;
 import org.gaugehollow.keys.KeyLimits;
 import org.gaugehollow.keys.KeyOwnership;
+import org.gaugehollow.keys.KeyReplicator;
 import org.gaugehollow.keys.KeyTable;
 import org.gaugehollow.keys.ReplicaTable;
+import org.gaugehollow.membership.AssignmentMaps;
 import org.gaugehollow.membership.BoxIdentity;
-import org.gaugehollow.membership.HallView;
 import org.gaugehollow.membership.Rights;
+import org.gaugehollow.model.AssignmentMap;
 import org.gaugehollow.model.ConfigEntry;
-import org.gaugehollow.model.HallMap;
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.KeySlots;
 import org.gaugehollow.model.ResultCode;
@@ -73,15 +73,15 @@
     @BeforeEach
     void own()
     {
-        rights.renewed(SteadyClock.nanos());
+        rights.renew(SteadyClock.nanos());
         BoxIdentity self = new BoxIdentity(SELF, SELF, HALL, "127.0.0.1:1");
-        ConfigKeeper keeper = new ConfigKeeper();
-        HallView halls = new HallView(HALL, keeper, events);
+        ConfigCache keeper = new ConfigCache();
+        AssignmentMaps halls = new AssignmentMaps(HALL, keeper, events);
         keeper.applyOwn(new ConfigEntry(StoreKeys.hallMap(HALL), 1, Json.write(map(self)), false));
         KeyTable table = new KeyTable(LIMITS, System::currentTimeMillis);
-        KeyCopier copier = new KeyCopier(self, halls, directory, table);
+        KeyReplicator copier = new KeyReplicator(self, halls, directory, table);
         new KeyOwnership(SELF, table, new ReplicaTable(SELF), copier, System::currentTimeMillis, events)
-                .follow(map(self));
+                .applyMap(map(self));
         RequestSupport support = new RequestSupport(self, null, halls, rights, null, directory, null, metrics,
                 events);
         runner = new KeyedRunner(support, table, copier, null);
@@ -96,17 +96,17 @@
     }
 
     /** A hall of two boxes, in which this box owns all keys. */
-    private HallMap map(BoxIdentity self)
+    private AssignmentMap map(BoxIdentity self)
     {
-        Map<String, HallMap.MapBox> boxes = new LinkedHashMap<>();
-        boxes.put(SELF, self.asMapBox());
-        boxes.put(SUCCESSOR, new HallMap.MapBox(SUCCESSOR, NetAddress.format(successor.address())));
-        List<HallMap.Assignment> owners = new ArrayList<>();
+        Map<String, AssignmentMap.Member> boxes = new LinkedHashMap<>();
+        boxes.put(SELF, self.toMember());
+        boxes.put(SUCCESSOR, new AssignmentMap.Member(SUCCESSOR, NetAddress.format(successor.address())));
+        List<AssignmentMap.Assignment> owners = new ArrayList<>();
         for (int slot = 0; slot < KeySlots.COUNT; slot++)
         {
-            owners.add(new HallMap.Assignment(SELF, 1));
+            owners.add(new AssignmentMap.Assignment(SELF, 1));
         }
-        return new HallMap(1, boxes, Map.of(), owners);
+        return new AssignmentMap(1, boxes, Map.of(), owners);
     }
 
     private Frame.Builder keep(CopyCall call)
@@ -114,7 +114,7 @@
         boolean record = call.getRecordsCount() > 0;
         if (record && rightsEndWithTheCopy)
         {
-            rights.lost();
+            rights.revoke();
         }
         return Frame.newBuilder().setCopyReply(CopyReply.newBuilder().setAccepted(!record || keepsRecords));
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/entry/WorkerKeeperTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/entry/WorkerKeeperTest.java
@@ -17,17 +17,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.BooleanSupplier;
 
-import org.gaugehollow.config.ConfigKeeper;
+import org.gaugehollow.config.ConfigCache;
 import org.gaugehollow.config.StoreKeys;
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.HybridClock;
-import org.gaugehollow.membership.HallView;
+import org.gaugehollow.membership.AssignmentMaps;
 import org.gaugehollow.membership.Rights;
-import org.gaugehollow.membership.RosterKeeper;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.membership.RosterCache;
+import org.gaugehollow.model.AssignmentMap;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.ConfigEntry;
 import org.gaugehollow.model.GaugehollowException;
-import org.gaugehollow.model.HallMap;
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.PolicySpec;
 import org.gaugehollow.model.ResultCode;
@@ -40,7 +40,7 @@
 import org.gaugehollow.placement.EngineLimits;
 import org.gaugehollow.placement.Placement;
 import org.gaugehollow.placement.PlacementEngine;
-import org.gaugehollow.placement.PolicyBook;
+import org.gaugehollow.placement.PolicyAssignments;
 import org.gaugehollow.placement.PolicyRegistry;
 import org.gaugehollow.placement.TaskDemand;
 import org.gaugehollow.supervise.Supervisor;
@@ -60,7 +60,7 @@
     private static final String BOX = "bole-1";
     private static final long EPOCH = 3;
     private static final int SLOTS = 4;
-    private static final Amounts ONE_SLOT = new Amounts(1, 0, 0, 0);
+    private static final ComputeResources ONE_SLOT = new ComputeResources(1, 0, 0, 0);
     private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(10);
     private static final long STEP_MILLIS = 5;
     private static final long RIGHTS_MILLIS = 60_000;
@@ -75,18 +75,18 @@
     private final CountDownLatch mayEnd = new CountDownLatch(1);
     private final HttpServer server = new HttpServer(loops, new InetSocketAddress("127.0.0.1", 0), 1_000,
             events, this::answerAsWorker);
-    private final RosterKeeper roster = new RosterKeeper("bole", List::of, () -> false, RIGHTS_MILLIS,
-            events);
+    private final RosterCache roster = new RosterCache("bole", List::of, () -> false, RIGHTS_MILLIS, events);
     private WorkerKeeper keeper;
 
     @BeforeEach
     void start() throws InterruptedException
     {
-        rights.renewed(SteadyClock.nanos());
-        ConfigKeeper configuration = new ConfigKeeper();
-        HallView halls = new HallView("bole", configuration, events);
-        HallMap map = new HallMap(EPOCH, Map.of(BOX, new HallMap.MapBox(BOX, "127.0.0.1:1")),
-                Map.of(WORKER, new HallMap.Assignment(BOX, EPOCH)), List.of());
+        rights.renew(SteadyClock.nanos());
+        ConfigCache configuration = new ConfigCache();
+        AssignmentMaps halls = new AssignmentMaps("bole", configuration, events);
+        AssignmentMap map = new AssignmentMap(EPOCH,
+                Map.of(BOX, new AssignmentMap.Member(BOX, "127.0.0.1:1")),
+                Map.of(WORKER, new AssignmentMap.Assignment(BOX, EPOCH)), List.of());
         configuration.applyOwn(new ConfigEntry(StoreKeys.hallMap("bole"), 1, Json.write(map), false));
         list(1, SLOTS);
         keeper = new WorkerKeeper(BOX, halls, roster, engine, rights, loops, supervisor, events);
@@ -103,16 +103,17 @@
         loops.close();
     }
 
-    private static PolicyBook policies()
+    private static PolicyAssignments policies()
     {
-        return new PolicyBook(Map.of(), Map.of(), new PolicyBook.Named("waiting-first",
+        return new PolicyAssignments(Map.of(), Map.of(), new PolicyAssignments.Named("waiting-first",
                 new PolicyRegistry().create(new PolicySpec("waiting-first", null, null))));
     }
 
     private void list(long version, int slots)
     {
         String address = "127.0.0.1:" + server.address().getPort();
-        Worker worker = new Worker(WORKER, address, "bole", "r1", new Amounts(slots, 4_000, 8_192, 0), false);
+        Worker worker = new Worker(WORKER, address, "bole", "r1",
+                new ComputeResources(slots, 4_000, 8_192, 0), false);
         roster.adopt(version, Json.write(List.of(worker)));
     }
 
--- a/gaugehollow/src/test/java/org/gaugehollow/job/CrashHistoryTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/job/CrashHistoryTest.java
@@ -8,32 +8,32 @@
 
 import java.util.Set;
 
+import org.gaugehollow.job.CrashHistory.Attribution;
 import org.gaugehollow.job.CrashHistory.Crash;
-import org.gaugehollow.job.CrashHistory.Evidence;
 import org.junit.jupiter.api.Test;
 
 /** What is known of the workers that crashed under a task. */
 class CrashHistoryTest
 {
-    private final CrashHistory history = CrashHistory.NONE.with("w1", Evidence.AT_START)
-            .with("w2", Evidence.UNPROVEN).with("w3", Evidence.LATER).with("w4", Evidence.AT_START);
+    private final CrashHistory history = CrashHistory.NONE.with("w1", Attribution.AT_START)
+            .with("w2", Attribution.UNPROVEN).with("w3", Attribution.LATER).with("w4", Attribution.AT_START);
 
     @Test
     void whatIsKnownLaterTakesThePlaceOfWhatWasKnownBefore()
     {
-        CrashHistory newer = history.with("w2", Evidence.AT_START);
+        CrashHistory newer = history.with("w2", Attribution.AT_START);
         assertThat(newer.crashes()).hasSize(4);
-        assertThat(newer.count(Evidence.UNPROVEN)).isEqualTo(0);
-        assertThat(newer.count(Evidence.AT_START)).isEqualTo(3);
+        assertThat(newer.count(Attribution.UNPROVEN)).isEqualTo(0);
+        assertThat(newer.count(Attribution.AT_START)).isEqualTo(3);
     }
 
     @Test
     void ofExplainedCrashesOnlyThoseRightAfterAStartStillCount()
     {
-        CrashHistory explained = history.explained(Set.of("w1", "w2", "w3"));
-        assertThat(explained.crashes()).containsExactly(new Crash("w1", Evidence.EXPLAINED),
-                new Crash("w4", Evidence.AT_START));
-        assertThat(explained.explained(Set.of("w1"))).isEqualTo(explained);
+        CrashHistory explained = history.withExplained(Set.of("w1", "w2", "w3"));
+        assertThat(explained.crashes()).containsExactly(new Crash("w1", Attribution.EXPLAINED),
+                new Crash("w4", Attribution.AT_START));
+        assertThat(explained.withExplained(Set.of("w1"))).isEqualTo(explained);
     }
 
     @Test
--- a/gaugehollow/src/test/java/org/gaugehollow/job/JobCodecTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/job/JobCodecTest.java
@@ -34,9 +34,9 @@
     @Test
     void theRecordOfAJobThatIsOverNamesItsQueueAndLittleElse()
     {
-        byte[] written = JobCodec.writeRecord(RECORD.whenOver());
+        byte[] written = JobCodec.writeRecord(RECORD.toTombstone());
         JobRecord read = JobCodec.readRecord(written);
-        assertThat(read.over()).isTrue();
+        assertThat(read.hasEnded()).isTrue();
         assertThat(read.id()).isEqualTo(RECORD.id());
         assertThat(read.queue().name()).isEqualTo("urgent");
         assertThat(written.length).isLessThan(100);
--- a/gaugehollow/src/test/java/org/gaugehollow/job/QuotaCheckTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/job/QuotaCheckTest.java
@@ -10,7 +10,7 @@
 
 import java.util.List;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.ResultCode;
 import org.junit.jupiter.api.Test;
@@ -19,7 +19,7 @@
 class QuotaCheckTest
 {
     private static final Customer NORTH = new Customer("north", 1,
-            new Amounts(Customer.NO_LIMIT, 10_000, Customer.NO_LIMIT, 2));
+            new ComputeResources(Customer.NO_LIMIT, 10_000, Customer.NO_LIMIT, 2));
 
     private static JobSpec job(int count, int cpu, int accelerators, boolean gang)
     {
--- a/gaugehollow/src/test/java/org/gaugehollow/keys/KeyTableTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/keys/KeyTableTest.java
@@ -41,40 +41,39 @@
 
     private ResultCode refusal(String key, long issuedAt)
     {
-        return assertThrows(GaugehollowException.class, () -> table.ask("t", key, "goal", issuedAt, "task"))
-                .code();
+        return assertThrows(GaugehollowException.class,
+                () -> table.register("t", key, "goal", issuedAt, "task")).code();
     }
 
     @Test
     void onlyTheFirstAskRuns()
     {
         own(0);
-        KeyTable.Ask first = table.ask("t", "k", "goal", NOW, "task-1");
-        KeyTable.Ask second = table.ask("t", "k", "goal", NOW, "task-2");
+        KeyTable.Registration first = table.register("t", "k", "goal", NOW, "task-1");
+        KeyTable.Registration second = table.register("t", "k", "goal", NOW, "task-2");
         assertThat(first.first()).isTrue();
         assertThat(second.first()).isFalse();
         assertThat(second.entry()).isSameInstanceAs(first.entry());
-        assertThat(table.ask("other", "k", "goal", NOW, "task-3").first()).isTrue();
+        assertThat(table.register("other", "k", "goal", NOW, "task-3").first()).isTrue();
     }
 
     @Test
     void whatWasNotRunMayRunLater()
     {
         own(0);
-        KeyTable.Ask first = table.ask("t", "k", "goal", NOW, "task-1");
-        table.notRun(first.entry(), Answer.getDefaultInstance());
-        assertThat(table.ask("t", "k", "goal", NOW, "task-2").first()).isTrue();
-        assertThat(table.records()).isEqualTo(1);
+        KeyTable.Registration first = table.register("t", "k", "goal", NOW, "task-1");
+        table.recordNotRun(first.entry(), Answer.getDefaultInstance());
+        assertThat(table.register("t", "k", "goal", NOW, "task-2").first()).isTrue();
+        assertThat(table.recordCount()).isEqualTo(1);
     }
 
     @Test
     void aKeyForAnotherWorkloadIsAConflict()
     {
         own(0);
-        assertThat(table.ask("t", "k", "goal", NOW, "task-1").first()).isTrue();
-        assertThat(
-                assertThrows(GaugehollowException.class, () -> table.ask("t", "k", "booking", NOW, "task-2"))
-                        .code())
+        assertThat(table.register("t", "k", "goal", NOW, "task-1").first()).isTrue();
+        assertThat(assertThrows(GaugehollowException.class,
+                () -> table.register("t", "k", "booking", NOW, "task-2")).code())
                 .isEqualTo(ResultCode.KEY_CONFLICT);
     }
 
@@ -86,18 +85,18 @@
         assertThat(refusal("same-time", NOW + 150)).isEqualTo(ResultCode.EVIDENCE_LOST);
         assertThat(refusal("no-time", 0)).isEqualTo(ResultCode.EVIDENCE_LOST);
         wall.set(NOW + 1_000);
-        assertThat(table.ask("t", "new", "goal", NOW + 900, "task").first()).isTrue();
+        assertThat(table.register("t", "new", "goal", NOW + 900, "task").first()).isTrue();
     }
 
     @Test
     void aKeyOlderThanItsRecordIsNotRunOnAGuess()
     {
         own(0);
-        assertThat(table.ask("t", "k", "goal", NOW, "task-1").first()).isTrue();
-        table.ended(table.ask("t", "k", "goal", NOW, "x").entry(), Answer.getDefaultInstance());
+        assertThat(table.register("t", "k", "goal", NOW, "task-1").first()).isTrue();
+        table.recordAnswer(table.register("t", "k", "goal", NOW, "x").entry(), Answer.getDefaultInstance());
         wall.addAndGet(60_001);
-        table.forgetOld();
-        assertThat(table.records()).isEqualTo(0);
+        table.evictExpired();
+        assertThat(table.recordCount()).isEqualTo(0);
         assertThat(refusal("k", NOW)).isEqualTo(ResultCode.EVIDENCE_LOST);
     }
 
@@ -108,7 +107,7 @@
         assertThat(refusal("k", NOW + 201)).isEqualTo(ResultCode.BAD_REQUEST);
         for (int i = 0; i < 5; i++)
         {
-            assertThat(table.ask("t", "k" + i, "goal", NOW, "task").first()).isTrue();
+            assertThat(table.register("t", "k" + i, "goal", NOW, "task").first()).isTrue();
         }
         assertThat(refusal("k5", NOW)).isEqualTo(ResultCode.QUEUE_FULL);
     }
@@ -117,9 +116,9 @@
     void aSlotThatIsMovingTakesNoNewKeyButKnowsItsOldOnes()
     {
         own(0);
-        assertThat(table.ask("t", "k", "goal", NOW, "task-1").first()).isTrue();
+        assertThat(table.register("t", "k", "goal", NOW, "task-1").first()).isTrue();
         table.setMoving(table.owned(), true);
-        assertThat(table.ask("t", "k", "goal", NOW, "task-2").first()).isFalse();
+        assertThat(table.register("t", "k", "goal", NOW, "task-2").first()).isFalse();
         assertThat(refusal("k2", NOW)).isEqualTo(ResultCode.KEY_MOVING);
     }
 
--- a/gaugehollow/src/test/java/org/gaugehollow/keys/ReplicaTableTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/keys/ReplicaTableTest.java
@@ -10,8 +10,8 @@
 import java.util.Set;
 
 import org.gaugehollow.membership.MapPlanner;
-import org.gaugehollow.model.HallMap;
-import org.gaugehollow.model.HallMap.MapBox;
+import org.gaugehollow.model.AssignmentMap;
+import org.gaugehollow.model.AssignmentMap.Member;
 import org.gaugehollow.peer.generated.PeerProtocol.CopyCall;
 import org.gaugehollow.peer.generated.PeerProtocol.KeyRecord;
 import org.gaugehollow.peer.generated.PeerProtocol.SlotEvidence;
@@ -21,20 +21,20 @@
 class ReplicaTableTest
 {
     private final ReplicaTable replicas = new ReplicaTable("b");
-    private final HallMap one = HallMap.first(box("a"));
-    private final HallMap two = join(one, "b");
+    private final AssignmentMap one = AssignmentMap.initial(box("a"));
+    private final AssignmentMap two = join(one, "b");
 
-    private static MapBox box(String id)
+    private static Member box(String id)
     {
-        return new MapBox(id, "127.0.0.1:1000");
+        return new Member(id, "127.0.0.1:1000");
     }
 
-    private static HallMap join(HallMap map, String box)
+    private static AssignmentMap join(AssignmentMap map, String box)
     {
         return MapPlanner.afterMembership(map, Set.of(), List.of(box(box)), Set.of());
     }
 
-    private static HallMap remove(HallMap map, String box)
+    private static AssignmentMap remove(AssignmentMap map, String box)
     {
         return MapPlanner.afterMembership(map, Set.of(box), List.of(), Set.of());
     }
@@ -50,7 +50,7 @@
                 .build();
     }
 
-    private boolean complete(HallMap after, String owner)
+    private boolean complete(AssignmentMap after, String owner)
     {
         return replicas.evidenceOf(0, owner, true, after.epoch()).isPresent();
     }
@@ -58,57 +58,57 @@
     @Test
     void copiesOfTheBoxThatThisOneSucceedsAreComplete()
     {
-        replicas.follow(two);
-        assertThat(replicas.take(record("a"))).isFalse();
-        assertThat(replicas.take(full("a"))).isTrue();
-        assertThat(replicas.take(record("a"))).isTrue();
-        HallMap after = remove(two, "a");
-        replicas.follow(after);
+        replicas.applyMap(two);
+        assertThat(replicas.applyCopy(record("a"))).isFalse();
+        assertThat(replicas.applyCopy(full("a"))).isTrue();
+        assertThat(replicas.applyCopy(record("a"))).isTrue();
+        AssignmentMap after = remove(two, "a");
+        replicas.applyMap(after);
         assertThat(complete(after, "a")).isTrue();
     }
 
     @Test
     void aBoxThatIsNotTheSuccessorKeepsNoCopies()
     {
-        HallMap three = join(two, "c");
-        replicas.follow(three);
-        assertThat(replicas.take(full("b"))).isFalse();
-        assertThat(replicas.take(full("c"))).isFalse();
+        AssignmentMap three = join(two, "c");
+        replicas.applyMap(three);
+        assertThat(replicas.applyCopy(full("b"))).isFalse();
+        assertThat(replicas.applyCopy(full("c"))).isFalse();
     }
 
     @Test
     void copiesAreDroppedWhenAnotherBoxComesBetween()
     {
         ReplicaTable first = new ReplicaTable("a");
-        first.follow(two);
-        assertThat(first.take(full("b"))).isTrue();
-        HallMap three = join(two, "c");
-        first.follow(three);
-        HallMap without = remove(remove(three, "c"), "b");
-        first.follow(remove(three, "c"));
-        first.follow(without);
+        first.applyMap(two);
+        assertThat(first.applyCopy(full("b"))).isTrue();
+        AssignmentMap three = join(two, "c");
+        first.applyMap(three);
+        AssignmentMap without = remove(remove(three, "c"), "b");
+        first.applyMap(remove(three, "c"));
+        first.applyMap(without);
         assertThat(first.evidenceOf(0, "b", true, without.epoch())).isEmpty();
     }
 
     @Test
     void copiesAreDoubtfulWhenAMapWasMissed()
     {
-        replicas.follow(two);
-        assertThat(replicas.take(full("a"))).isTrue();
-        HallMap skipped = join(two, "c");
-        HallMap after = remove(skipped, "a");
-        replicas.follow(after);
+        replicas.applyMap(two);
+        assertThat(replicas.applyCopy(full("a"))).isTrue();
+        AssignmentMap skipped = join(two, "c");
+        AssignmentMap after = remove(skipped, "a");
+        replicas.applyMap(after);
         assertThat(complete(after, "a")).isFalse();
     }
 
     @Test
     void aHandOverCountsOnlyForTheChangeItWasMadeFor()
     {
-        replicas.follow(two);
+        replicas.applyMap(two);
         CopyCall handOver = full("a").toBuilder().setHandOver(true).setMapEpoch(two.epoch()).build();
-        assertThat(replicas.take(handOver)).isTrue();
+        assertThat(replicas.applyCopy(handOver)).isTrue();
         assertThat(replicas.evidenceOf(0, "a", false, two.epoch() + 1)).isPresent();
-        assertThat(replicas.take(handOver)).isTrue();
+        assertThat(replicas.applyCopy(handOver)).isTrue();
         assertThat(replicas.evidenceOf(0, "a", false, two.epoch() + 2)).isEmpty();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/membership/MapPlannerTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/membership/MapPlannerTest.java
@@ -14,8 +14,8 @@
 import java.util.TreeSet;
 import java.util.stream.IntStream;
 
-import org.gaugehollow.model.HallMap;
-import org.gaugehollow.model.HallMap.MapBox;
+import org.gaugehollow.model.AssignmentMap;
+import org.gaugehollow.model.AssignmentMap.Member;
 import org.gaugehollow.model.KeySlots;
 
 import net.jqwik.api.ForAll;
@@ -33,12 +33,12 @@
     void everythingHasOneOwnerAndNothingMovesWithoutNeed(
             @ForAll @Size(max = 40) List<@IntRange(max = 23) Integer> steps)
     {
-        HallMap map = HallMap.first(box(0));
+        AssignmentMap map = AssignmentMap.initial(box(0));
         Set<String> workers = new TreeSet<>();
         for (int step : steps)
         {
             Set<String> removed = new HashSet<>();
-            List<MapBox> joining = List.of();
+            List<Member> joining = List.of();
             if (step < 8)
             {
                 joining = List.of(box(step));
@@ -51,13 +51,13 @@
             {
                 toggle(workers, "w" + (step - 16));
             }
-            HallMap next = MapPlanner.afterMembership(map, removed, joining, workers);
+            AssignmentMap next = MapPlanner.afterMembership(map, removed, joining, workers);
             assertWholeAndStable(map, next, workers);
             map = next;
         }
     }
 
-    private static void assertWholeAndStable(HallMap map, HallMap next, Set<String> workers)
+    private static void assertWholeAndStable(AssignmentMap map, AssignmentMap next, Set<String> workers)
     {
         assertThat(next.boxes()).isNotEmpty();
         assertThat(next.slotOwners()).hasSize(KeySlots.COUNT);
@@ -70,7 +70,7 @@
         next.workers().forEach((worker, owner) ->
         {
             assertThat(next.boxes()).containsKey(owner.box());
-            HallMap.Assignment before = map.workers().get(worker);
+            AssignmentMap.Assignment before = map.workers().get(worker);
             if (before != null && next.boxes().containsKey(before.box()))
             {
                 assertThat(owner).isEqualTo(before);
@@ -111,7 +111,7 @@
     @Property(tries = 50, seed = "817")
     void everyMajorityMeetsEveryTakeoverQuorum(@ForAll @IntRange(min = 1, max = 9) int boxes)
     {
-        HallMap map = HallMap.first(box(0));
+        AssignmentMap map = AssignmentMap.initial(box(0));
         for (int i = 1; i < boxes; i++)
         {
             map = MapPlanner.afterMembership(map, Set.of(), List.of(box(i)), Set.of());
@@ -127,8 +127,8 @@
         }
     }
 
-    private static MapBox box(int number)
+    private static Member box(int number)
     {
-        return new MapBox("b" + number, "127.0.0.1:" + (1_000 + number));
+        return new Member("b" + number, "127.0.0.1:" + (1_000 + number));
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/membership/RightsTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/membership/RightsTest.java
@@ -30,58 +30,58 @@
     {
         long sentAt = clock.get();
         pass(1_500);
-        rights.renewed(sentAt);
+        rights.renew(sentAt);
         pass(LEASE - 1_501);
-        assertThat(rights.valid()).isTrue();
+        assertThat(rights.isValid()).isTrue();
         pass(1);
-        assertThat(rights.valid()).isFalse();
+        assertThat(rights.isValid()).isFalse();
     }
 
     @Test
     void aMajorityOfFreshVouchersExtendsTheRight()
     {
-        rights.renewed(clock.get());
+        rights.renew(clock.get());
         pass(LEASE);
-        assertThat(rights.valid()).isFalse();
-        rights.witnessed(List.of(clock.get(), clock.get() - TimeUnit.MILLISECONDS.toNanos(400)), 2);
-        assertThat(rights.frozen()).isTrue();
+        assertThat(rights.isValid()).isFalse();
+        rights.extendByQuorum(List.of(clock.get(), clock.get() - TimeUnit.MILLISECONDS.toNanos(400)), 2);
+        assertThat(rights.isFrozen()).isTrue();
         pass(599);
-        assertThat(rights.valid()).isTrue();
+        assertThat(rights.isValid()).isTrue();
         pass(1);
-        assertThat(rights.valid()).isFalse();
+        assertThat(rights.isValid()).isFalse();
     }
 
     @Test
     void tooFewOrStaleVouchersExtendNothing()
     {
-        rights.renewed(clock.get());
+        rights.renew(clock.get());
         pass(LEASE);
-        rights.witnessed(List.of(clock.get()), 2);
-        rights.witnessed(List.of(clock.get(), clock.get() - TimeUnit.MILLISECONDS.toNanos(WITNESS)), 2);
-        assertThat(rights.valid()).isFalse();
+        rights.extendByQuorum(List.of(clock.get()), 2);
+        rights.extendByQuorum(List.of(clock.get(), clock.get() - TimeUnit.MILLISECONDS.toNanos(WITNESS)), 2);
+        assertThat(rights.isValid()).isFalse();
     }
 
     @Test
     void aWordOfAStoreThatAnsweredAfterTheLeaseCouldLapseDoesNotVouch()
     {
         long renewedAt = clock.get();
-        rights.renewed(renewedAt);
+        rights.renew(renewedAt);
         long lapses = renewedAt + TimeUnit.MILLISECONDS.toNanos(LEASE);
-        assertThat(rights.vouchedBy(lapses)).isTrue();
-        assertThat(rights.vouchedBy(lapses + 1)).isFalse();
+        assertThat(rights.isConfirmedBy(lapses)).isTrue();
+        assertThat(rights.isConfirmedBy(lapses + 1)).isFalse();
     }
 
     @Test
     void afterAPauseNothingCountsUntilItIsConfirmedAnew()
     {
-        rights.renewed(clock.get());
-        rights.paused();
-        assertThat(rights.valid()).isFalse();
-        rights.witnessed(List.of(clock.get(), clock.get()), 2);
-        assertThat(rights.valid()).isTrue();
-        rights.lost();
-        rights.witnessed(List.of(clock.get(), clock.get()), 2);
-        assertThat(rights.valid()).isFalse();
-        assertThat(rights.vouchedBy(0)).isFalse();
+        rights.renew(clock.get());
+        rights.suspend();
+        assertThat(rights.isValid()).isFalse();
+        rights.extendByQuorum(List.of(clock.get(), clock.get()), 2);
+        assertThat(rights.isValid()).isTrue();
+        rights.revoke();
+        rights.extendByQuorum(List.of(clock.get(), clock.get()), 2);
+        assertThat(rights.isValid()).isFalse();
+        assertThat(rights.isConfirmedBy(0)).isFalse();
     }
 }
