--- a/gaugehollow/src/test/java/org/gaugehollow/membership/StoreEvidenceTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/membership/StoreLivenessTest.java
@@ -12,29 +12,29 @@
 import org.junit.jupiter.api.Test;
 
 /** What boxes tell each other of the store's last answer stays true however often it is told. */
-class StoreEvidenceTest
+class StoreLivenessTest
 {
     private static final long START = TimeUnit.DAYS.toNanos(1);
     private static final long PERIOD = TimeUnit.MILLISECONDS.toNanos(100);
     private static final long WAY = TimeUnit.MICROSECONDS.toNanos(20_300);
 
     private final AtomicLong clock = new AtomicLong(START);
-    private final StoreEvidence first = new StoreEvidence("bole-1~a", clock::get);
-    private final StoreEvidence second = new StoreEvidence("bole-2~b", clock::get);
+    private final StoreLiveness first = new StoreLiveness("bole-1~a", clock::get);
+    private final StoreLiveness second = new StoreLiveness("bole-2~b", clock::get);
 
-    private void tell(StoreEvidence from, StoreEvidence to)
+    private void tell(StoreLiveness from, StoreLiveness to)
     {
-        StoreEvidence.Sighting sighting = from.newestSighting();
+        StoreLiveness.Contact sighting = from.lastContact();
         clock.addAndGet(WAY);
-        to.heard(sighting);
+        to.merge(sighting);
     }
 
     @Test
     void anAnswerToldToAndFroInALongOutageDoesNotGrowYounger()
     {
-        first.answered();
+        first.recordContact();
         clock.addAndGet(PERIOD);
-        second.answered();
+        second.recordContact();
         long lastAnswer = clock.get();
         for (int i = 0; i < 600; i++)
         {
@@ -43,44 +43,44 @@
             clock.addAndGet(PERIOD);
         }
         long slack = WAY + TimeUnit.MILLISECONDS.toNanos(1);
-        assertThat(first.newestNanos() - lastAnswer).isAtMost(slack);
-        assertThat(second.newestNanos() - lastAnswer).isAtMost(slack);
-        assertThat(first.newestNanos()).isAtLeast(lastAnswer);
+        assertThat(first.lastContactNanos() - lastAnswer).isAtMost(slack);
+        assertThat(second.lastContactNanos() - lastAnswer).isAtMost(slack);
+        assertThat(first.lastContactNanos()).isAtLeast(lastAnswer);
     }
 
     @Test
     void aNewerAnswerOfTheSameBoxIsTaken()
     {
-        first.answered();
+        first.recordContact();
         tell(first, second);
         clock.addAndGet(PERIOD);
-        first.answered();
+        first.recordContact();
         long newest = clock.get();
         tell(first, second);
-        assertThat(second.newestNanos()).isAtLeast(newest);
+        assertThat(second.lastContactNanos()).isAtLeast(newest);
     }
 
     @Test
     void anOlderAnswerThatArrivesLateChangesNothing()
     {
-        first.answered();
-        StoreEvidence.Sighting older = first.newestSighting();
+        first.recordContact();
+        StoreLiveness.Contact older = first.lastContact();
         clock.addAndGet(PERIOD);
-        first.answered();
+        first.recordContact();
         tell(first, second);
-        long known = second.newestNanos();
+        long known = second.lastContactNanos();
         clock.addAndGet(PERIOD);
-        second.heard(older);
-        assertThat(second.newestNanos()).isEqualTo(known);
+        second.merge(older);
+        assertThat(second.lastContactNanos()).isEqualTo(known);
     }
 
     @Test
     void aBoxThatKnowsOfNoAnswerTellsNothing()
     {
-        second.answered();
-        long known = second.newestNanos();
+        second.recordContact();
+        long known = second.lastContactNanos();
         tell(first, second);
-        assertThat(second.newestNanos()).isEqualTo(known);
-        assertThat(first.newestSighting()).isEqualTo(StoreEvidence.Sighting.NONE);
+        assertThat(second.lastContactNanos()).isEqualTo(known);
+        assertThat(first.lastContact()).isEqualTo(StoreLiveness.Contact.NONE);
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/net/HttpConnectionTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/net/HttpConnectionTest.java
@@ -113,7 +113,7 @@
             String outcome;
             try
             {
-                outcome = new String(caller.callSlowly(request, IDLE_MILLIS, WHOLE_MILLIS).body(),
+                outcome = new String(caller.callWithIdleTimeout(request, IDLE_MILLIS, WHOLE_MILLIS).body(),
                         StandardCharsets.US_ASCII);
             }
             catch (GaugehollowException e)
--- a/gaugehollow/src/test/java/org/gaugehollow/placement/IndexDifferentialTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/placement/IndexDifferentialTest.java
@@ -12,7 +12,7 @@
 import java.util.Map;
 import java.util.Optional;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 import net.jqwik.api.Arbitraries;
 import net.jqwik.api.Arbitrary;
@@ -25,18 +25,18 @@
 class IndexDifferentialTest
 {
     /** One thing that happens to a cell. */
-    record Step(int kind, int worker, Amounts amounts)
+    record Step(int kind, int worker, ComputeResources amounts)
     {
     }
 
     @Provide
     Arbitrary<List<Step>> histories()
     {
-        Arbitrary<Amounts> amounts = Combinators
+        Arbitrary<ComputeResources> amounts = Combinators
                 .combine(Arbitraries.integers().between(1, 3), Arbitraries.integers().between(0, 4),
                         Arbitraries.integers().between(0, 4), Arbitraries.integers().between(0, 1))
-                .as((slots, cpu, memory, accelerators) -> new Amounts(slots, cpu * 1000, memory * 2048,
-                        accelerators));
+                .as((slots, cpu, memory, accelerators) -> new ComputeResources(slots, cpu * 1000,
+                        memory * 2048, accelerators));
         return Combinators
                 .combine(Arbitraries.integers().between(0, 9), Arbitraries.integers().between(0, 14), amounts)
                 .as(Step::new).list().ofMinSize(20).ofMaxSize(200);
@@ -59,8 +59,8 @@
         WorkerIndex index = new WorkerIndex();
         NaivePlacement naive = new NaivePlacement(score);
         ScoredPolicy policy = new ScoredPolicy(score);
-        Map<String, Amounts> free = new HashMap<>();
-        List<Map.Entry<String, Amounts>> running = new ArrayList<>();
+        Map<String, ComputeResources> free = new HashMap<>();
+        List<Map.Entry<String, ComputeResources>> running = new ArrayList<>();
         for (Step step : history)
         {
             String id = "w" + step.worker;
@@ -78,8 +78,8 @@
             }
             else if (step.kind == 3 && !running.isEmpty())
             {
-                Map.Entry<String, Amounts> ended = running.remove(step.worker % running.size());
-                free.merge(ended.getKey(), ended.getValue(), Amounts::plus);
+                Map.Entry<String, ComputeResources> ended = running.remove(step.worker % running.size());
+                free.merge(ended.getKey(), ended.getValue(), ComputeResources::plus);
                 put(index, naive, ended.getKey(), free.get(ended.getKey()));
             }
             else
@@ -96,16 +96,16 @@
         }
     }
 
-    private static void put(WorkerIndex index, NaivePlacement naive, String id, Amounts free)
+    private static void put(WorkerIndex index, NaivePlacement naive, String id, ComputeResources free)
     {
         index.put(id, capacityOf(id), free);
         naive.put(id, capacityOf(id), free);
     }
 
-    private static Amounts capacityOf(String id)
+    private static ComputeResources capacityOf(String id)
     {
         return Integer.parseInt(id.substring(1)) % 3 == 0
-                ? new Amounts(8, 16_000, 32_768, 2)
-                : new Amounts(8, 32_000, 65_536, 0);
+                ? new ComputeResources(8, 16_000, 32_768, 2)
+                : new ComputeResources(8, 32_000, 65_536, 0);
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/placement/NaivePlacement.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/placement/NaivePlacement.java
@@ -8,7 +8,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 
 /** The naive twin of the engine's index: looks at every worker anew for every task. */
 final class NaivePlacement
@@ -21,7 +21,7 @@
         this.score = score;
     }
 
-    void put(String worker, Amounts capacity, Amounts free)
+    void put(String worker, ComputeResources capacity, ComputeResources free)
     {
         workers.put(worker, new WorkerIndex.State(capacity, free));
     }
@@ -31,7 +31,7 @@
         workers.remove(worker);
     }
 
-    Optional<String> choose(Amounts demand)
+    Optional<String> choose(ComputeResources demand)
     {
         String best = null;
         double bestScore = 0;
--- a/gaugehollow/src/test/java/org/gaugehollow/placement/PlacementEngineTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/placement/PlacementEngineTest.java
@@ -15,7 +15,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.PolicySpec;
 import org.gaugehollow.model.ResultCode;
@@ -27,8 +27,8 @@
 /** The engine's counting, queueing, shares and swaps. */
 class PlacementEngineTest
 {
-    private static final Amounts ONE_SLOT = new Amounts(1, 0, 0, 0);
-    private static final Amounts WORKER = new Amounts(4, 4_000, 8_192, 0);
+    private static final ComputeResources ONE_SLOT = new ComputeResources(1, 0, 0, 0);
+    private static final ComputeResources WORKER = new ComputeResources(4, 4_000, 8_192, 0);
     private final PolicyRegistry registry = new PolicyRegistry();
     private PlacementEngine engine;
     private int tasks;
@@ -44,10 +44,10 @@
         return new PlacementEngine(limits, book("waiting-first"), SteadyClock::nanos);
     }
 
-    private PolicyBook book(String type)
+    private PolicyAssignments book(String type)
     {
         PlacementPolicy policy = registry.create(new PolicySpec(type, null, null));
-        return new PolicyBook(Map.of(), Map.of(), new PolicyBook.Named(type, policy));
+        return new PolicyAssignments(Map.of(), Map.of(), new PolicyAssignments.Named(type, policy));
     }
 
     private TaskDemand demand(TaskClass taskClass, String team, int weight, int limit)
@@ -86,7 +86,7 @@
     @Test
     void neverMoreThanAWorkerHolds()
     {
-        engine.putWorker("w1", 1, WORKER, new Amounts(1, 0, 0, 0), true);
+        engine.putWorker("w1", 1, WORKER, new ComputeResources(1, 0, 0, 0), true);
         List<Placement> placed = new ArrayList<>();
         for (Optional<Placement> p = engine.tryPlace(demand(TaskClass.URGENT, "a", 1, 0)); p
                 .isPresent(); p = engine.tryPlace(demand(TaskClass.URGENT, "a", 1, 0)))
@@ -102,7 +102,7 @@
     @Test
     void aReleaseAfterAChangeOfOwnerFreesNothingTwice()
     {
-        engine.putWorker("w1", 1, WORKER, Amounts.NONE, true);
+        engine.putWorker("w1", 1, WORKER, ComputeResources.NONE, true);
         Placement old = engine.tryPlace(demand(TaskClass.URGENT, "a", 1, 0)).orElseThrow();
         engine.removeWorker("w1");
         engine.putWorker("w1", 3, WORKER, ONE_SLOT, true);
@@ -114,7 +114,7 @@
     @Test
     void urgentWorkGoesBeforeBookingsAndThoseBeforeBatch() throws Exception
     {
-        engine.putWorker("w1", 1, ONE_SLOT, Amounts.NONE, true);
+        engine.putWorker("w1", 1, ONE_SLOT, ComputeResources.NONE, true);
         Placement running = engine.tryPlace(demand(TaskClass.URGENT, "a", 1, 0)).orElseThrow();
         CompletableFuture<Placement> booking = placeLater(demand(TaskClass.BOOKING, "a", 1, 0));
         CompletableFuture<Placement> urgent = placeLater(demand(TaskClass.URGENT, "a", 1, 0));
@@ -128,7 +128,7 @@
     @Test
     void teamsShareByWeightAndNoneStarves() throws Exception
     {
-        engine.putWorker("w1", 1, ONE_SLOT, Amounts.NONE, true);
+        engine.putWorker("w1", 1, ONE_SLOT, ComputeResources.NONE, true);
         Placement running = engine.tryPlace(demand(TaskClass.BOOKING, "z", 1, 0)).orElseThrow();
         List<CompletableFuture<Placement>> waiting = new ArrayList<>();
         for (int i = 0; i < 30; i++)
@@ -171,7 +171,7 @@
     {
         for (int i = 0; i < 5; i++)
         {
-            engine.putWorker("w" + i, 1, WORKER, Amounts.NONE, true);
+            engine.putWorker("w" + i, 1, WORKER, ComputeResources.NONE, true);
         }
         int batch = 0;
         while (engine.tryPlace(demand(TaskClass.BATCH, "a", 1, 0)).isPresent())
@@ -185,7 +185,7 @@
     @Test
     void aTeamGetsNoMoreThanItsQuota()
     {
-        engine.putWorker("w1", 1, WORKER, Amounts.NONE, true);
+        engine.putWorker("w1", 1, WORKER, ComputeResources.NONE, true);
         assertThat(engine.tryPlace(demand(TaskClass.BOOKING, "a", 1, 2))).isPresent();
         assertThat(engine.tryPlace(demand(TaskClass.BOOKING, "a", 1, 2))).isPresent();
         assertThat(engine.tryPlace(demand(TaskClass.BOOKING, "a", 1, 2))).isEmpty();
@@ -210,7 +210,7 @@
     @Test
     void aSwapOfPoliciesLosesAndReordersNothing() throws Exception
     {
-        engine.putWorker("w1", 1, ONE_SLOT, Amounts.NONE, true);
+        engine.putWorker("w1", 1, ONE_SLOT, ComputeResources.NONE, true);
         Placement running = engine.tryPlace(demand(TaskClass.BOOKING, "a", 1, 0)).orElseThrow();
         List<CompletableFuture<Placement>> waiting = new ArrayList<>();
         for (int i = 0; i < 20; i++)
@@ -242,7 +242,7 @@
     {
         AtomicLong clock = new AtomicLong(1);
         engine = new PlacementEngine(EngineLimits.defaults(), book("waiting-first"), clock::get);
-        engine.putWorker("w1", 1, ONE_SLOT, Amounts.NONE, true);
+        engine.putWorker("w1", 1, ONE_SLOT, ComputeResources.NONE, true);
         Placement running = engine.tryPlace(demand(TaskClass.BOOKING, "a", 1, 0)).orElseThrow();
         List<CompletableFuture<Placement>> waiting = new ArrayList<>();
         for (int i = 0; i < 5; i++)
--- a/gaugehollow/src/test/java/org/gaugehollow/platform/MonitoredStoreTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/platform/MonitoredStoreTest.java
@@ -102,10 +102,10 @@
         store.hangs = true;
         listAside();
         pass(550);
-        assertThat(monitored.isSilent()).isFalse();
+        assertThat(monitored.isUnresponsive()).isFalse();
         pass(100);
-        assertThat(monitored.isSilent()).isTrue();
-        assertThat(monitored.isSteady()).isFalse();
+        assertThat(monitored.isUnresponsive()).isTrue();
+        assertThat(monitored.isStable()).isFalse();
     }
 
     @Test
@@ -119,7 +119,7 @@
             pass(400);
             monitored.list("");
         }
-        assertThat(monitored.isSilent()).isFalse();
+        assertThat(monitored.isUnresponsive()).isFalse();
     }
 
     @Test
@@ -127,9 +127,9 @@
     {
         monitored.list("");
         pass(5_000);
-        assertThat(monitored.isSilent()).isFalse();
+        assertThat(monitored.isUnresponsive()).isFalse();
         monitored.list("");
-        assertThat(monitored.isSilent()).isFalse();
+        assertThat(monitored.isUnresponsive()).isFalse();
     }
 
     @Test
@@ -148,10 +148,10 @@
                 assertThat(e.code()).isEqualTo(ResultCode.STORE_UNAVAILABLE);
             }
         }
-        assertThat(monitored.isSilent()).isTrue();
+        assertThat(monitored.isUnresponsive()).isTrue();
         store.fails = false;
         monitored.list("");
-        assertThat(monitored.isSilent()).isFalse();
+        assertThat(monitored.isUnresponsive()).isFalse();
     }
 
     @Test
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/AdviceDeskTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/AdviceCacheTest.java
@@ -22,16 +22,16 @@
 import org.gaugehollow.time.SteadyClock;
 import org.gaugehollow.worker.Advice;
 import org.gaugehollow.worker.WorkerEntry;
-import org.gaugehollow.worker.WorkerLife;
+import org.gaugehollow.worker.WorkerIncarnation;
 import org.junit.jupiter.api.Test;
 
 /** What an owner asks the advice service, and when it stops asking. */
-class AdviceDeskTest
+class AdviceCacheTest
 {
     private static final long RETRIES_MILLIS = 1_500;
 
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
-    private final Ledger ledger = new Ledger(SteadyClock::nanos, TimeUnit.SECONDS.toNanos(15));
+    private final CellState ledger = new CellState(SteadyClock::nanos, TimeUnit.SECONDS.toNanos(15));
 
     /**
      * Owners of terms long over went on asking for the steps of their day, for up to 18 s, since
@@ -43,18 +43,18 @@
     {
         AtomicInteger calls = new AtomicInteger();
         CountDownLatch termIsOver = new CountDownLatch(1);
-        AdviceLines lines = new AdviceLines((step, workers, timeout) ->
+        AdviceDispatcher lines = new AdviceDispatcher((step, workers, timeout) ->
         {
             calls.incrementAndGet();
             termIsOver.await();
             throw new GaugehollowException(ResultCode.UPSTREAM_TIMEOUT, "no answer in time");
         }, events);
-        AdviceDesk desk = new AdviceDesk(ledger, lines, () ->
+        AdviceCache desk = new AdviceCache(ledger, lines, () ->
         {
         });
         synchronized (ledger)
         {
-            ledger.list(TestJobs.worker("w1", 16_000)).setHeld(true);
+            ledger.list(TestJobs.worker("w1", 16_000)).setLeaseHeld(true);
             JobSpec spec = new JobSpec("text", List.of(TestJobs.step(1, 1_000, List.of())), 0, 0, 0);
             ledger.accept(new JobRecord(TestJobs.ID, TestJobs.ADVISED_QUEUE, spec, 0), 1, null, 0);
             desk.request(ledger.find(TestJobs.ID + ".0.0.0").step());
@@ -67,7 +67,7 @@
 
     private static WorkerEntry entryOf(long born)
     {
-        return TestJobs.worker(new WorkerLife("w1", born), 16_000);
+        return TestJobs.worker(new WorkerIncarnation("w1", born), 16_000);
     }
 
     /**
@@ -80,19 +80,19 @@
     {
         List<List<String>> asked = new CopyOnWriteArrayList<>();
         AtomicReference<List<Advice.Ticket>> tickets = new AtomicReference<>(List.of());
-        AdviceLines lines = new AdviceLines((step, workers, timeout) ->
+        AdviceDispatcher lines = new AdviceDispatcher((step, workers, timeout) ->
         {
             asked.add(workers);
             return new Advice(tickets.get(), 500);
         }, events);
         AtomicInteger answers = new AtomicInteger();
-        AdviceDesk desk = new AdviceDesk(ledger, lines, answers::incrementAndGet);
+        AdviceCache desk = new AdviceCache(ledger, lines, answers::incrementAndGet);
         Step step;
-        WorkerSlot first;
+        TrackedWorker first;
         synchronized (ledger)
         {
             first = ledger.list(entryOf(1));
-            first.setHeld(true);
+            first.setLeaseHeld(true);
             JobSpec spec = new JobSpec("text", List.of(TestJobs.step(1, 1_000, List.of())), 0, 0, 0);
             ledger.accept(new JobRecord(TestJobs.ID, TestJobs.ADVISED_QUEUE, spec, 0), 1, null, 0);
             step = ledger.find(TestJobs.ID + ".0.0.0").step();
@@ -100,14 +100,14 @@
         }
         assertThat(TestJobs.within(2_000, () -> answers.get() == 1)).isTrue();
         tickets.set(List.of(new Advice.Ticket("w1", "ticket")));
-        WorkerSlot second;
+        TrackedWorker second;
         synchronized (ledger)
         {
-            assertThat(desk.isBarred(step, first)).isTrue();
+            assertThat(desk.isDenied(step, first)).isTrue();
             first.unlisted();
             second = ledger.list(entryOf(2));
-            second.setHeld(true);
-            assertThat(desk.isBarred(step, second)).isFalse();
+            second.setLeaseHeld(true);
+            assertThat(desk.isDenied(step, second)).isFalse();
             desk.request(step);
         }
         assertThat(TestJobs.within(2_000, () -> answers.get() == 2)).isTrue();
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/AdviceQuestionTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/AdviceCandidatesTest.java
@@ -19,20 +19,20 @@
  * as before, the service needs 1.2 s for a step of 21 tasks in place of the 0.7 s that its
  * objective allows for, and names no worker with room.
  */
-class AdviceQuestionTest
+class AdviceCandidatesTest
 {
     private static final int WORKERS = 245;
     private static final int ROOMY = 20;
     private static final int CPU = 9_000;
     private static final int USUAL = 30;
 
-    private final Ledger ledger = new Ledger(() -> 0, 0);
+    private final CellState ledger = new CellState(() -> 0, 0);
 
     private void list(int free)
     {
         for (int i = 0; i < WORKERS; i++)
         {
-            ledger.list(TestJobs.worker("w" + i, i < WORKERS - free ? CPU - 1 : 3 * CPU)).looked(0);
+            ledger.list(TestJobs.worker("w" + i, i < WORKERS - free ? CPU - 1 : 3 * CPU)).recordHeartbeat(0);
         }
     }
 
@@ -49,7 +49,7 @@
 
     private List<String> ask(Step step, Set<String> healthy)
     {
-        return new AdviceQuestion(step, healthy).choose(ledger.workers()).stream().map(WorkerSlot::id)
+        return new AdviceCandidates(step, healthy).choose(ledger.workers()).stream().map(TrackedWorker::id)
                 .toList();
     }
 
@@ -63,7 +63,7 @@
     {
         list(ROOMY);
         List<String> asked = ask(step("00000000000000a1", 10), Set.of());
-        assertThat(asked.subList(0, ROOMY).stream().allMatch(AdviceQuestionTest::isRoomy)).isTrue();
+        assertThat(asked.subList(0, ROOMY).stream().allMatch(AdviceCandidatesTest::isRoomy)).isTrue();
         assertThat(asked).hasSize(USUAL);
     }
 
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/CancelledRunsTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/CancelledRunsTest.java
@@ -19,7 +19,7 @@
 import org.gaugehollow.job.StepSpec;
 import org.gaugehollow.platform.StoreTransaction;
 import org.gaugehollow.platform.StoredValue;
-import org.gaugehollow.worker.OrderResult;
+import org.gaugehollow.worker.CommandResult;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.parallel.Execution;
@@ -75,7 +75,7 @@
 
     private void acceptAsOver() throws InterruptedException
     {
-        platform.accept(TestJobs.job(TestJobs.ID, ONE).whenOver());
+        platform.accept(TestJobs.job(TestJobs.ID, ONE).toTombstone());
     }
 
     private void cancel() throws InterruptedException
@@ -134,7 +134,7 @@
         cancel();
         assertThat(TestJobs.within(SOON_MILLIS, this::isShownAsCancelled)).isTrue();
         assertThat(TestJobs.within(SOON_MILLIS, () -> worker.stopped().contains(TASK))).isTrue();
-        assertThat(worker.arriveLate()).isEqualTo(OrderResult.OLD_RUN);
+        assertThat(worker.arriveLate()).isEqualTo(CommandResult.OLD_RUN);
         assertThat(worker.isRunning(TASK)).isFalse();
     }
 
@@ -150,7 +150,7 @@
         assertThat(TestJobs.within(SOON_MILLIS, () -> worker.startsAsked() > 0)).isTrue();
         cancel();
         assertThat(TestJobs.within(SOON_MILLIS, this::isShownAsCancelled)).isTrue();
-        assertThat(worker.arriveLate()).isEqualTo(OrderResult.DONE);
+        assertThat(worker.arriveLate()).isEqualTo(CommandResult.DONE);
         assertEnds(worker, LATE_START_MILLIS);
     }
 
@@ -173,15 +173,15 @@
         assertThat(TestJobs.within(LAPSED_MILLIS, () -> !knowsJobAtWork())).isTrue();
         worker.setSilent(false);
         worker.loseStops(0);
-        assertThat(worker.arriveLate()).isEqualTo(OrderResult.DONE);
+        assertThat(worker.arriveLate()).isEqualTo(CommandResult.DONE);
         assertEnds(worker, LATE_START_MILLIS);
     }
 
     private boolean knowsJobAtWork()
     {
-        synchronized (term.term().ledger())
+        synchronized (term.term().cellState())
         {
-            return term.term().ledger().find(TASK) != null;
+            return term.term().cellState().find(TASK) != null;
         }
     }
 
@@ -219,9 +219,9 @@
 
     private boolean isListed(String worker)
     {
-        synchronized (term.term().ledger())
+        synchronized (term.term().cellState())
         {
-            return term.term().ledger().worker(worker).isPresent();
+            return term.term().cellState().worker(worker).isPresent();
         }
     }
 
@@ -296,7 +296,7 @@
         awaitBegun(worker, 2);
         worker.loseStops(0);
         cancel();
-        assertThat(worker.arriveLate()).isEqualTo(OrderResult.FENCED);
+        assertThat(worker.arriveLate()).isEqualTo(CommandResult.FENCED);
         assertEnds(worker, LATE_START_MILLIS);
     }
 
@@ -338,7 +338,7 @@
         platform.fakeStore().silenceWatches(true);
         accept();
         cancel();
-        term.term().noteWritten(TestJobs.ID);
+        term.term().onJobWritten(TestJobs.ID);
         assertThat(TestJobs.within(SOON_MILLIS, this::isShownAsCancelled)).isTrue();
         assertThat(worker.startsAsked()).isEqualTo(0);
     }
@@ -366,7 +366,7 @@
         assertThat(TestJobs.within(SOON_MILLIS, () -> worker.isRunning(TASK))).isTrue();
         platform.fakeStore().silenceWatches(true);
         cancel();
-        term.term().noteCancelled(TestJobs.ID);
+        term.term().onJobCancelled(TestJobs.ID);
         assertThat(TestJobs.within(SOON_MILLIS, () -> !worker.isRunning(TASK))).isTrue();
         assertThat(TestJobs.within(SOON_MILLIS, this::isShownAsCancelled)).isTrue();
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/LedgerTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/CellStateTest.java
@@ -15,29 +15,29 @@
 import org.gaugehollow.job.JobRecord;
 import org.gaugehollow.job.JobState;
 import org.gaugehollow.placement.WaitingFirstScore;
-import org.gaugehollow.worker.HoldAnswer;
+import org.gaugehollow.worker.HeartbeatReply;
 import org.gaugehollow.worker.RunEnd;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** What the owner's memory makes of accepted jobs, looks at workers and lost workers. */
-class LedgerTest
+class CellStateTest
 {
     private static final long UNKNOWN_LEASE = TimeUnit.SECONDS.toNanos(13);
 
     private final AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(1_000));
-    private final Ledger ledger = new Ledger(clock::get, UNKNOWN_LEASE);
+    private final CellState ledger = new CellState(clock::get, UNKNOWN_LEASE);
     private final Planner planner = new Planner(ledger, new NoTickets(), new WaitingFirstScore(0.5));
-    private WorkerSlot first;
-    private WorkerSlot second;
+    private TrackedWorker first;
+    private TrackedWorker second;
 
     @BeforeEach
     void listWorkers()
     {
         first = ledger.list(TestJobs.worker("w1", 4_000));
         second = ledger.list(TestJobs.worker("w2", 4_000));
-        first.setHeld(true);
-        second.setHeld(true);
+        first.setLeaseHeld(true);
+        second.setLeaseHeld(true);
     }
 
     private List<Planner.Start> plan()
@@ -89,8 +89,8 @@
     private Effects end(Planner.Start start, long number, RunEnd how)
     {
         Task task = taskOf(start);
-        HoldAnswer answer = TestJobs.answer(List.of(), List.of(TestJobs.ended(number, task, how)));
-        return ledger.look(start.slot(), answer, number - 1, later());
+        HeartbeatReply answer = TestJobs.answer(List.of(), List.of(TestJobs.ended(number, task, how)));
+        return ledger.applyHeartbeat(start.slot(), answer, number - 1, later());
     }
 
     @Test
@@ -129,9 +129,9 @@
         Planner.Start start = plan().getFirst();
         started(start);
         Task task = taskOf(start);
-        HoldAnswer answer = TestJobs.answer(List.of(), List.of(TestJobs.ended(1, task, RunEnd.FAILED)));
-        ledger.look(start.slot(), answer, 0, later());
-        ledger.look(start.slot(), answer, 0, later());
+        HeartbeatReply answer = TestJobs.answer(List.of(), List.of(TestJobs.ended(1, task, RunEnd.FAILED)));
+        ledger.applyHeartbeat(start.slot(), answer, 0, later());
+        ledger.applyHeartbeat(start.slot(), answer, 0, later());
         assertThat(task.failures()).isEqualTo(1);
     }
 
@@ -142,16 +142,16 @@
         Planner.Start start = plan().getFirst();
         started(start);
         Job job = taskOf(start).step().job();
-        HoldAnswer answer = TestJobs.answer(List.of(),
+        HeartbeatReply answer = TestJobs.answer(List.of(),
                 List.of(TestJobs.ended(1, taskOf(start), RunEnd.DONE)));
         job.beginWrite();
-        assertThat(ledger.look(start.slot(), answer, 0, later()).changed()).containsExactly(job);
+        assertThat(ledger.applyHeartbeat(start.slot(), answer, 0, later()).changed()).containsExactly(job);
         job.endWrite();
-        assertThat(ledger.look(start.slot(), answer, 0, later()).changed()).containsExactly(job);
+        assertThat(ledger.applyHeartbeat(start.slot(), answer, 0, later()).changed()).containsExactly(job);
         job.beginWrite();
-        assertThat(ledger.look(start.slot(), answer, 0, later()).changed()).containsExactly(job);
+        assertThat(ledger.applyHeartbeat(start.slot(), answer, 0, later()).changed()).containsExactly(job);
         job.endWrite();
-        assertThat(ledger.look(start.slot(), answer, 0, later()).changed()).isEmpty();
+        assertThat(ledger.applyHeartbeat(start.slot(), answer, 0, later()).changed()).isEmpty();
     }
 
     @Test
@@ -159,7 +159,7 @@
     {
         ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
         Planner.Start start = plan().getFirst();
-        ledger.look(start.slot(), TestJobs.answer(List.of(), List.of()), 0, later());
+        ledger.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, later());
         assertThat(taskOf(start).occupies()).isTrue();
         assertThat(plan()).isEmpty();
     }
@@ -172,9 +172,9 @@
         taskOf(start).stopping();
         taskOf(start).settle(clock.get());
         long sentBefore = clock.get() - 1;
-        ledger.look(start.slot(), TestJobs.answer(List.of(), List.of()), 0, sentBefore);
+        ledger.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, sentBefore);
         assertThat(taskOf(start).occupies()).isTrue();
-        ledger.look(start.slot(), TestJobs.answer(List.of(), List.of()), 0, later());
+        ledger.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, later());
         assertThat(taskOf(start).occupies()).isFalse();
         assertThat(plan().getFirst().run()).isEqualTo(2);
     }
@@ -189,7 +189,7 @@
         task.settleStop(start.slot(), 1, clock.get());
         long sent = later();
         task.settleStop(start.slot(), 1, later());
-        ledger.look(start.slot(), TestJobs.answer(List.of(), List.of()), 0, sent);
+        ledger.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, sent);
         assertThat(task.occupies()).isFalse();
     }
 
@@ -206,18 +206,18 @@
         task.order(start.slot(), 2, clock.get());
         task.settleStop(start.slot(), 1, clock.get());
         assertThat(task.settledNanos()).isEqualTo(Task.UNSETTLED);
-        ledger.look(start.slot(), TestJobs.answer(List.of(), List.of()), 0, later());
+        ledger.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, later());
         assertThat(task.occupies()).isTrue();
     }
 
     @Test
     void runsThatTheLedgerDoesNotKnowAreStopped()
     {
-        HoldAnswer answer = TestJobs
-                .answer(List.of(new HoldAnswer.RunningRun("00000000000000bb.0.0.0", 3, "", 5, 0)), List.of());
-        Effects effects = ledger.look(first, answer, 0, later());
+        HeartbeatReply answer = TestJobs.answer(
+                List.of(new HeartbeatReply.RunningRun("00000000000000bb.0.0.0", 3, "", 5, 0)), List.of());
+        Effects effects = ledger.applyHeartbeat(first, answer, 0, later());
         assertThat(effects.stops()).hasSize(1);
-        assertThat(first.accepts()).isFalse();
+        assertThat(first.acceptsStarts()).isFalse();
     }
 
     @Test
@@ -228,14 +228,14 @@
         List<Planner.Start> starts = plan();
         JobProgress written = starts.getFirst().task().step().job().progress();
 
-        Ledger next = new Ledger(clock::get, UNKNOWN_LEASE);
-        WorkerSlot slot = next.list(TestJobs.worker("w1", 4_000));
+        CellState next = new CellState(clock::get, UNKNOWN_LEASE);
+        TrackedWorker slot = next.list(TestJobs.worker("w1", 4_000));
         next.accept(record, 1, written, 0);
         Planner nextPlanner = new Planner(next, new NoTickets(), new WaitingFirstScore(0.5));
-        slot.setHeld(true);
+        slot.setLeaseHeld(true);
         assertThat(nextPlanner.plan(clock.get(), 0).starts()).isEmpty();
 
-        next.look(slot, TestJobs.answer(List.of(), List.of()), 0, later());
+        next.applyHeartbeat(slot, TestJobs.answer(List.of(), List.of()), 0, later());
         List<Planner.Start> again = nextPlanner.plan(clock.get(), 0).starts();
         assertThat(again).hasSize(1);
         assertThat(again.getFirst().run()).isEqualTo(2);
@@ -247,12 +247,12 @@
         JobRecord record = TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of()));
         ledger.accept(record, 1, null, 0);
         JobProgress written = plan().getFirst().task().step().job().progress();
-        Ledger next = new Ledger(clock::get, UNKNOWN_LEASE);
+        CellState next = new CellState(clock::get, UNKNOWN_LEASE);
         next.accept(record, 1, written, 0);
         clock.addAndGet(UNKNOWN_LEASE - 1);
-        assertThat(next.slots().lapsed()).isEmpty();
+        assertThat(next.slots().withExpiredLease()).isEmpty();
         clock.addAndGet(2);
-        assertThat(next.slots().lapsed()).hasSize(1);
+        assertThat(next.slots().withExpiredLease()).hasSize(1);
     }
 
     @Test
@@ -272,11 +272,11 @@
         ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.gang(2, 1_000)), 1, null, 0);
         List<Planner.Start> starts = plan();
         starts.forEach(this::started);
-        ledger.lost(starts.get(0).slot(), WorkerEnd.LAPSED);
+        ledger.onWorkerLost(starts.get(0).slot(), WorkerLossCause.LAPSED);
         assertThat(plan()).isEmpty();
-        ledger.lost(starts.get(1).slot(), WorkerEnd.LAPSED);
-        first.setHeld(true);
-        second.setHeld(true);
+        ledger.onWorkerLost(starts.get(1).slot(), WorkerLossCause.LAPSED);
+        first.setLeaseHeld(true);
+        second.setLeaseHeld(true);
         List<Planner.Start> again = plan();
         assertThat(again).hasSize(2);
         again.forEach(start -> assertThat(start.run()).isEqualTo(2));
@@ -305,7 +305,7 @@
         Task task = taskOf(plan().getFirst());
         ledger.cancel(TestJobs.ID, new Cancellation(TestJobs.QUEUE.name()));
         Effects effects = new Effects();
-        Ledger.release(task, effects);
+        CellState.release(task, effects);
         assertThat(effects.changed()).containsExactly(task.step().job());
     }
 
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/CrashGuardTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/CrashGuardTest.java
@@ -11,14 +11,14 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-import org.gaugehollow.job.CrashHistory.Evidence;
+import org.gaugehollow.job.CrashHistory.Attribution;
 import org.gaugehollow.job.JobCodec;
 import org.gaugehollow.job.JobProgress;
 import org.gaugehollow.job.JobState;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.placement.WaitingFirstScore;
 import org.gaugehollow.worker.WorkerEntry;
-import org.gaugehollow.worker.WorkerLife;
+import org.gaugehollow.worker.WorkerIncarnation;
 import org.junit.jupiter.api.Test;
 
 /** What counts towards giving a task up, and what does not. */
@@ -28,13 +28,13 @@
     private static final String TASK = TestJobs.ID + ".0.0.0";
 
     private final AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(1_000));
-    private Ledger ledger = newLedger();
+    private CellState ledger = newLedger();
     private Planner planner = newPlanner();
     private int lives;
 
-    private Ledger newLedger()
+    private CellState newLedger()
     {
-        return new Ledger(clock::get, TimeUnit.SECONDS.toNanos(14));
+        return new CellState(clock::get, TimeUnit.SECONDS.toNanos(14));
     }
 
     private Planner newPlanner()
@@ -54,11 +54,11 @@
     }
 
     /** Another life of the only worker is listed. */
-    private WorkerSlot list()
+    private TrackedWorker list()
     {
         lives++;
-        WorkerSlot slot = ledger.list(TestJobs.worker("w" + lives, WORKER_CPU));
-        slot.looked(clock.get());
+        TrackedWorker slot = ledger.list(TestJobs.worker("w" + lives, WORKER_CPU));
+        slot.recordHeartbeat(clock.get());
         return slot;
     }
 
@@ -71,21 +71,22 @@
         }
     }
 
-    private Effects end(WorkerSlot slot, WorkerEnd how)
+    private Effects end(TrackedWorker slot, WorkerLossCause how)
     {
         slot.unlisted();
-        return ledger.lost(slot, how);
+        return ledger.onWorkerLost(slot, how);
     }
 
-    private void look(WorkerSlot slot, Task task)
+    private void look(TrackedWorker slot, Task task)
     {
-        ledger.look(slot, TestJobs.answer(List.of(TestJobs.running(task)), List.of()), 0, clock.get());
+        ledger.applyHeartbeat(slot, TestJobs.answer(List.of(TestJobs.running(task)), List.of()), 0,
+                clock.get());
     }
 
     /** The only worker gets the task, and its life ends in some way after a while. */
-    private Effects startAndEnd(WorkerEnd how, long millis)
+    private Effects startAndEnd(WorkerLossCause how, long millis)
     {
-        WorkerSlot slot = list();
+        TrackedWorker slot = list();
         startAll();
         Task task = ledger.find(TASK);
         assertThat(task.worker()).isSameInstanceAs(slot);
@@ -101,9 +102,9 @@
     void twoCrashesRightAfterTheStartAreEnoughWhereNothingElseHadJustBegun()
     {
         Task task = accept();
-        startAndEnd(WorkerEnd.CRASHED, 0);
+        startAndEnd(WorkerLossCause.CRASHED, 0);
         assertThat(task.step().job().state()).isEqualTo(JobState.RUNNING);
-        Effects effects = startAndEnd(WorkerEnd.CRASHED, 0);
+        Effects effects = startAndEnd(WorkerLossCause.CRASHED, 0);
         assertThat(effects.givenUp()).hasSize(1);
         assertThat(effects.givenUp().getFirst().crashes().proven()).containsExactly("w1", "w2");
         assertThat(task.step().job().state()).isEqualTo(JobState.FAILED);
@@ -113,10 +114,10 @@
     void crashesThatComeLaterCountThreeTimes()
     {
         Task task = accept();
-        startAndEnd(WorkerEnd.CRASHED, 2_000);
-        startAndEnd(WorkerEnd.CRASHED, 2_000);
+        startAndEnd(WorkerLossCause.CRASHED, 2_000);
+        startAndEnd(WorkerLossCause.CRASHED, 2_000);
         assertThat(task.step().job().state()).isEqualTo(JobState.RUNNING);
-        startAndEnd(WorkerEnd.CRASHED, 2_000);
+        startAndEnd(WorkerLossCause.CRASHED, 2_000);
         assertThat(task.step().job().state()).isEqualTo(JobState.FAILED);
     }
 
@@ -124,12 +125,12 @@
     void aTaskThatOutlivedAllSuspicionIsClearedOfIt()
     {
         Task task = accept();
-        startAndEnd(WorkerEnd.CRASHED, 0);
+        startAndEnd(WorkerLossCause.CRASHED, 0);
         list();
         startAll();
         advance(CrashGuard.CLEARED_MILLIS);
         look(task.worker(), task);
-        ledger.giveUpHarmful();
+        ledger.failPoisonTasks();
         assertThat(task.crashes().isEmpty()).isTrue();
     }
 
@@ -139,10 +140,10 @@
         Task task = accept();
         for (int i = 0; i < 2 * CrashGuard.MOST_IN_ALL; i++)
         {
-            WorkerSlot slot = list();
+            TrackedWorker slot = list();
             startAll();
-            ledger.lost(slot, i % 2 == 0 ? WorkerEnd.LEFT : WorkerEnd.LAPSED);
-            ledger.giveUpHarmful();
+            ledger.onWorkerLost(slot, i % 2 == 0 ? WorkerLossCause.LEFT : WorkerLossCause.LAPSED);
+            ledger.failPoisonTasks();
         }
         assertThat(task.step().job().state()).isEqualTo(JobState.RUNNING);
     }
@@ -154,7 +155,7 @@
         for (int i = 0; i < CrashGuard.MOST_IN_ALL; i++)
         {
             assertThat(task.step().job().state()).isNotEqualTo(JobState.FAILED);
-            startAndEnd(WorkerEnd.LAPSED, 0);
+            startAndEnd(WorkerLossCause.LAPSED, 0);
         }
         assertThat(task.step().job().state()).isEqualTo(JobState.FAILED);
     }
@@ -163,9 +164,9 @@
     void aStartThatWasNeverSentCountsForNothing()
     {
         Task task = accept();
-        WorkerSlot slot = list();
+        TrackedWorker slot = list();
         planner.plan(clock.get(), 0);
-        end(slot, WorkerEnd.CRASHED);
+        end(slot, WorkerLossCause.CRASHED);
         assertThat(task.crashes().isEmpty()).isTrue();
     }
 
@@ -173,10 +174,10 @@
     void aWorkerThatHadSaidThatItLeavesHasNotCrashed()
     {
         accept();
-        WorkerSlot slot = list();
+        TrackedWorker slot = list();
         startAll();
-        ledger.list(new WorkerEntry(WorkerLife.parse(slot.id()), "service", "127.0.0.1:1", "hall", true,
-                1_000, new Amounts(0, WORKER_CPU, 32_768, 0), Set.of(), "r"));
+        ledger.list(new WorkerEntry(WorkerIncarnation.parse(slot.id()), "service", "127.0.0.1:1", "hall",
+                true, 1_000, new ComputeResources(0, WORKER_CPU, 32_768, 0), Set.of(), "r"));
         slot.unlisted();
         assertThat(slot.isLeaving()).isTrue();
     }
@@ -186,12 +187,12 @@
     void theNextOwnerKnowsOfTheCrashesBefore()
     {
         Task task = accept();
-        startAndEnd(WorkerEnd.CRASHED, 0);
+        startAndEnd(WorkerLossCause.CRASHED, 0);
         JobProgress progress = JobCodec.readProgress(JobCodec.writeProgress(task.step().job().progress()));
         ledger = newLedger();
         planner = newPlanner();
         ledger.accept(task.step().job().record(), 1, progress, 0);
-        Effects effects = startAndEnd(WorkerEnd.CRASHED, 0);
+        Effects effects = startAndEnd(WorkerLossCause.CRASHED, 0);
         assertThat(effects.givenUp()).hasSize(1);
     }
 
@@ -199,8 +200,8 @@
     void nothingElseBeginsWhereASuspectIsOnTrial()
     {
         Task suspect = accept();
-        startAndEnd(WorkerEnd.CRASHED, 0);
-        WorkerSlot slot = list();
+        startAndEnd(WorkerLossCause.CRASHED, 0);
+        TrackedWorker slot = list();
         startAll();
         ledger.accept(TestJobs.job("00000000000000bb", TestJobs.step(1, 1_000, List.of())), 1, null, 0);
         assertThat(planner.plan(clock.get(), 0).starts()).isEmpty();
@@ -216,19 +217,19 @@
         accept();
         ledger.accept(TestJobs.job("00000000000000bb", TestJobs.step(1, 1_000, List.of())), 1, null, 0);
         Task neighbour = ledger.find("00000000000000bb.0.0.0");
-        startAndEnd(WorkerEnd.CRASHED, 0);
-        assertThat(neighbour.crashes().count(Evidence.AT_START)).isEqualTo(1);
-        WorkerSlot slot = list();
+        startAndEnd(WorkerLossCause.CRASHED, 0);
+        assertThat(neighbour.crashes().count(Attribution.AT_START)).isEqualTo(1);
+        TrackedWorker slot = list();
         startAll();
         Task tried = slot.tasks().getFirst();
         Task other = tried == neighbour ? ledger.find(TASK) : neighbour;
-        end(slot, WorkerEnd.CRASHED);
+        end(slot, WorkerLossCause.CRASHED);
         assertThat(tried.step().job().state()).isEqualTo(JobState.FAILED);
-        assertThat(other.crashes().count(Evidence.EXPLAINED)).isEqualTo(1);
+        assertThat(other.crashes().count(Attribution.EXPLAINED)).isEqualTo(1);
         assertThat(other.isSuspect()).isFalse();
     }
 
-    private void startBy(Task task, WorkerSlot slot, boolean isAnswered)
+    private void startBy(Task task, TrackedWorker slot, boolean isAnswered)
     {
         task.order(slot, task.run() + 1, clock.get());
         task.sent();
@@ -254,17 +255,17 @@
         Task harmful = accept();
         ledger.accept(TestJobs.job("00000000000000bb", TestJobs.step(1, 1_000, List.of())), 1, null, 0);
         Task neighbour = ledger.find("00000000000000bb.0.0.0");
-        WorkerSlot first = list();
+        TrackedWorker first = list();
         startBy(neighbour, first, false);
-        end(first, WorkerEnd.CRASHED);
+        end(first, WorkerLossCause.CRASHED);
         for (int i = 0; i < CrashGuard.MOST_CRASHES; i++)
         {
-            WorkerSlot slot = list();
+            TrackedWorker slot = list();
             startBy(neighbour, slot, false);
             startBy(harmful, slot, true);
-            end(slot, WorkerEnd.CRASHED);
+            end(slot, WorkerLossCause.CRASHED);
         }
-        ledger.giveUpHarmful();
+        ledger.failPoisonTasks();
         assertThat(harmful.step().job().state()).isEqualTo(JobState.FAILED);
         assertThat(neighbour.step().job().state()).isNotEqualTo(JobState.FAILED);
         assertThat(neighbour.crashes().crashes()).hasSize(1);
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/LapsingWorkersTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/ExpiringLeasesTest.java
@@ -20,7 +20,7 @@
 
 /** Workers that are lost before a change of owner, or answer again around one. */
 @Execution(ExecutionMode.CONCURRENT)
-class LapsingWorkersTest
+class ExpiringLeasesTest
 {
     private static final String TASK = TestJobs.ID + ".0.0.0";
     private static final long SOON_MILLIS = 4_000;
@@ -54,7 +54,7 @@
 
     private String recorded()
     {
-        return platform.fakeStore().get(JobKeys.LAPSING).map(StoredValue::value)
+        return platform.fakeStore().get(JobKeys.EXPIRING_LEASES).map(StoredValue::value)
                 .map(value -> new String(value, StandardCharsets.UTF_8)).orElse("");
     }
 
@@ -111,7 +111,7 @@
     {
         first.setSilent(true);
         assertThat(TestJobs.within(RECORDED_MILLIS, () -> isRecorded("w1"))).isTrue();
-        platform.fakeStore().loseWritesOf(JobKeys.LAPSING);
+        platform.fakeStore().loseWritesOf(JobKeys.EXPIRING_LEASES);
         long deadline = first.newestDeadline();
         first.setSilent(false);
         assertThat(TestJobs.within(2_000, () -> first.newestDeadline() > deadline)).isFalse();
@@ -176,7 +176,7 @@
     @Test
     void aWorkerThatIsBackBeforeItsRecordIsWrittenIsUsedAgain() throws InterruptedException
     {
-        platform.fakeStore().loseWritesOf(JobKeys.LAPSING);
+        platform.fakeStore().loseWritesOf(JobKeys.EXPIRING_LEASES);
         first.setSilent(true);
         int looks = first.looks();
         assertThat(TestJobs.within(RECORDED_MILLIS, () -> first.looks() > looks + LOOKS_WHILE_SILENT))
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/FakeOwnerProbe.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/FakeOwnerProbe.java
@@ -16,7 +16,7 @@
     /** How long a box that cannot be reached is waited for. */
     private static final long UNREACHED_MILLIS = 450;
 
-    private final Map<String, Standing> standings = new ConcurrentHashMap<>();
+    private final Map<String, Result> standings = new ConcurrentHashMap<>();
     private final Set<String> unreachable = ConcurrentHashMap.newKeySet();
     private final Set<Integer> holds = ConcurrentHashMap.newKeySet();
     private final Set<String> peers;
@@ -47,12 +47,12 @@
 
     void owns(String box, long unconfirmedMillis)
     {
-        standings.put(box, new Standing(true, true, unconfirmedMillis, false));
+        standings.put(box, new Result(true, true, unconfirmedMillis, false));
     }
 
     void saysOfOwner(String box, boolean silent)
     {
-        standings.put(box, new Standing(true, false, 0, silent));
+        standings.put(box, new Result(true, false, 0, silent));
     }
 
     @Override
@@ -62,11 +62,11 @@
     }
 
     @Override
-    public Standing ask(String box, String owner, int waitMillis) throws InterruptedException
+    public Result probe(String box, String owner, int waitMillis) throws InterruptedException
     {
         holds.add(waitMillis);
         Thread.sleep(unreachable.contains(box) ? UNREACHED_MILLIS : CALL_MILLIS);
         asked.incrementAndGet();
-        return standings.getOrDefault(box, Standing.UNREACHED);
+        return standings.getOrDefault(box, Result.UNREACHED);
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/FakePlatform.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/FakePlatform.java
@@ -21,7 +21,7 @@
 import org.gaugehollow.worker.Advice;
 import org.gaugehollow.worker.AdvicePort;
 import org.gaugehollow.worker.WorkerEntry;
-import org.gaugehollow.worker.WorkerLife;
+import org.gaugehollow.worker.WorkerIncarnation;
 import org.gaugehollow.worker.WorkerPort;
 
 /** A platform in memory. */
@@ -74,7 +74,7 @@
     /** The same, with a room of so many processors. */
     void addLife(String id, byte born, FakeWorker worker, byte processors) throws InterruptedException
     {
-        workers.put(new WorkerLife(id, born).text(), worker);
+        workers.put(new WorkerIncarnation(id, born).text(), worker);
         store.commit(new StoreTransaction().put(WORKERS + id, new byte[]{USABLE, processors, born}));
     }
 
@@ -151,8 +151,8 @@
             throw new GaugehollowException(ResultCode.STORE_BAD_ANSWER, "no worker");
         }
         String id = workerId(key);
-        long born = value.length > BORN ? value[BORN] : WorkerLife.NOT_TOLD;
-        return TestJobs.worker(new WorkerLife(id, born),
+        long born = value.length > BORN ? value[BORN] : WorkerIncarnation.START_UNKNOWN;
+        return TestJobs.worker(new WorkerIncarnation(id, born),
                 value.length > 1 ? value[1] * CPU_PER_UNIT : WHOLE_CPU);
     }
 
@@ -165,7 +165,7 @@
     @Override
     public WorkerPort openWorker(WorkerEntry worker, BooleanSupplier mayOrder)
     {
-        return workers.get(worker.life().text());
+        return workers.get(worker.incarnation().text());
     }
 
     @Override
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/FakeWorker.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/FakeWorker.java
@@ -12,14 +12,14 @@
 import java.util.function.Predicate;
 
 import org.gaugehollow.time.SteadyClock;
-import org.gaugehollow.worker.HoldAnswer;
-import org.gaugehollow.worker.HoldAnswer.EndedRun;
-import org.gaugehollow.worker.HoldAnswer.RunningRun;
-import org.gaugehollow.worker.HoldOrder;
-import org.gaugehollow.worker.OrderAnswer;
-import org.gaugehollow.worker.OrderResult;
+import org.gaugehollow.worker.CommandReply;
+import org.gaugehollow.worker.CommandResult;
+import org.gaugehollow.worker.HeartbeatReply;
+import org.gaugehollow.worker.HeartbeatReply.EndedRun;
+import org.gaugehollow.worker.HeartbeatReply.RunningRun;
+import org.gaugehollow.worker.HeartbeatRequest;
 import org.gaugehollow.worker.RunEnd;
-import org.gaugehollow.worker.StartOrder;
+import org.gaugehollow.worker.StartCommand;
 import org.gaugehollow.worker.WorkerPort;
 
 /**
@@ -45,7 +45,7 @@
     private boolean holdsStartAnswers;
     private boolean holdsStopAnswers;
     private boolean holdsLookAnswers;
-    private StartOrder lostStart;
+    private StartCommand lostStart;
     private boolean otherLife;
     private boolean silent;
     private boolean closed;
@@ -116,19 +116,19 @@
     }
 
     /** The lost start arrives now; returns what becomes of it. */
-    synchronized OrderResult arriveLate()
+    synchronized CommandResult arriveLate()
     {
         return arrive(lostStart);
     }
 
     /** The newest start that was lost. */
-    synchronized StartOrder lostStart()
+    synchronized StartCommand lostStart()
     {
         return lostStart;
     }
 
     /** A start that was sent before arrives now; returns what becomes of it. */
-    synchronized OrderResult arrive(StartOrder order)
+    synchronized CommandResult arrive(StartCommand order)
     {
         return carryOut(order);
     }
@@ -233,34 +233,34 @@
         return ends.size();
     }
 
-    private OrderResult check(long token)
+    private CommandResult check(long token)
     {
         if (silent)
         {
-            return OrderResult.UNKNOWN;
+            return CommandResult.UNKNOWN;
         }
         if (otherLife)
         {
-            return OrderResult.OTHER_LIFE;
+            return CommandResult.OTHER_LIFE;
         }
         if (token < fence)
         {
-            return OrderResult.FENCED;
+            return CommandResult.FENCED;
         }
         fence = token;
-        return OrderResult.DONE;
+        return CommandResult.DONE;
     }
 
-    private OrderResult carryOut(StartOrder order)
+    private CommandResult carryOut(StartCommand order)
     {
-        OrderResult checked = check(order.fence());
-        if (checked != OrderResult.DONE)
+        CommandResult checked = check(order.fence());
+        if (checked != CommandResult.DONE)
         {
             return checked;
         }
         if (highestOver.getOrDefault(order.task(), 0) >= order.run())
         {
-            return OrderResult.OLD_RUN;
+            return CommandResult.OLD_RUN;
         }
         if (running.put(order.task(), order.run()) == null)
         {
@@ -271,11 +271,11 @@
                 onCrash.run();
             }
         }
-        return OrderResult.DONE;
+        return CommandResult.DONE;
     }
 
     @Override
-    public synchronized OrderAnswer start(StartOrder order, int timeoutMillis) throws InterruptedException
+    public synchronized CommandReply start(StartCommand order, int timeoutMillis) throws InterruptedException
     {
         startsAsked++;
         newestTicket = order.ticket();
@@ -285,42 +285,42 @@
         }
         if (unhealthy)
         {
-            return new OrderAnswer(OrderResult.UNHEALTHY, clockMillis());
+            return new CommandReply(CommandResult.UNHEALTHY, clockMillis());
         }
         if (startsToLose > 0)
         {
             startsToLose--;
             lostStart = order;
-            return new OrderAnswer(OrderResult.UNKNOWN, 0);
+            return new CommandReply(CommandResult.UNKNOWN, 0);
         }
-        OrderResult result = carryOut(order);
+        CommandResult result = carryOut(order);
         while (holdsStartAnswers)
         {
             wait();
         }
-        return new OrderAnswer(result, clockMillis());
+        return new CommandReply(result, clockMillis());
     }
 
     @Override
-    public synchronized OrderAnswer stop(String task, int run, long token, int timeoutMillis)
+    public synchronized CommandReply stop(String task, int run, long token, int timeoutMillis)
             throws InterruptedException
     {
         if (unhealthy)
         {
-            return new OrderAnswer(OrderResult.UNHEALTHY, clockMillis());
+            return new CommandReply(CommandResult.UNHEALTHY, clockMillis());
         }
         if (stopsToTurnAway > 0)
         {
             stopsToTurnAway--;
-            return new OrderAnswer(OrderResult.UNHEALTHY, clockMillis());
+            return new CommandReply(CommandResult.UNHEALTHY, clockMillis());
         }
         if (stopsToLose > 0)
         {
             stopsToLose--;
-            return new OrderAnswer(OrderResult.UNKNOWN, 0);
+            return new CommandReply(CommandResult.UNKNOWN, 0);
         }
-        OrderResult checked = check(token);
-        if (checked == OrderResult.DONE)
+        CommandResult checked = check(token);
+        if (checked == CommandResult.DONE)
         {
             stopped.add(task);
             highestOver.merge(task, run, Math::max);
@@ -333,31 +333,33 @@
         {
             wait();
         }
-        return new OrderAnswer(checked, clockMillis());
+        return new CommandReply(checked, clockMillis());
     }
 
     @Override
-    public synchronized OrderAnswer pace(String task, int run, int percent, long token, int timeoutMillis)
+    public synchronized CommandReply throttle(String task, int run, int percent, long token,
+            int timeoutMillis)
     {
-        return new OrderAnswer(check(token), clockMillis());
+        return new CommandReply(check(token), clockMillis());
     }
 
     @Override
-    public synchronized HoldAnswer hold(HoldOrder order, int timeoutMillis) throws InterruptedException
+    public synchronized HeartbeatReply heartbeat(HeartbeatRequest order, int timeoutMillis)
+            throws InterruptedException
     {
         looks++;
         newestDeadline = Math.max(newestDeadline, order.deadline());
         if (silent)
         {
             wait(timeoutMillis);
-            return HoldAnswer.refused(OrderResult.UNKNOWN);
+            return HeartbeatReply.refused(CommandResult.UNKNOWN);
         }
-        OrderResult checked = check(order.fence());
-        if (checked != OrderResult.DONE)
+        CommandResult checked = check(order.fence());
+        if (checked != CommandResult.DONE)
         {
-            return HoldAnswer.refused(checked);
+            return HeartbeatReply.refused(checked);
         }
-        ends.removeIf(end -> end.number() <= order.lastSeen());
+        ends.removeIf(end -> end.number() <= order.lastAckedEnd());
         if (ends.isEmpty() && order.waitMillis() > 0)
         {
             wait(order.waitMillis());
@@ -368,7 +370,7 @@
         {
             wait();
         }
-        return new HoldAnswer(OrderResult.DONE, clockMillis(), rows, List.copyOf(ends));
+        return new HeartbeatReply(CommandResult.DONE, clockMillis(), rows, List.copyOf(ends));
     }
 
     @Override
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/GuardsTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/GuardsTest.java
@@ -13,18 +13,18 @@
 
 import org.gaugehollow.job.JobRecord;
 import org.gaugehollow.job.StepSpec;
-import org.gaugehollow.model.Amounts;
-import org.gaugehollow.worker.HoldAnswer.RunningRun;
+import org.gaugehollow.model.ComputeResources;
+import org.gaugehollow.worker.HeartbeatReply.RunningRun;
 import org.gaugehollow.worker.WorkerEntry;
-import org.gaugehollow.worker.WorkerLife;
+import org.gaugehollow.worker.WorkerIncarnation;
 import org.junit.jupiter.api.Test;
 
 /** Leaving workers, runs that stand still, and tasks that disturb others. */
 class GuardsTest
 {
     private final AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(1_000));
-    private final Ledger ledger = new Ledger(clock::get, 0);
-    private final WorkerSlot slot = ledger.list(TestJobs.worker("w1", 64_000));
+    private final CellState ledger = new CellState(clock::get, 0);
+    private final TrackedWorker slot = ledger.list(TestJobs.worker("w1", 64_000));
 
     private static StepSpec serving(int count, long target, boolean fills)
     {
@@ -52,15 +52,15 @@
     private void look(Task task, int percent, double gauge)
     {
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(500));
-        ledger.look(slot,
+        ledger.applyHeartbeat(slot,
                 TestJobs.answer(List.of(new RunningRun(task.name(), 1, "", percent, gauge)), List.of()), 0,
                 clock.get());
     }
 
     private void drain(long remainingMillis)
     {
-        ledger.list(new WorkerEntry(WorkerLife.only("w1"), "service", "127.0.0.1:1", "hall", true,
-                remainingMillis, new Amounts(0, 64_000, 32_768, 0), Set.of(), "r"));
+        ledger.list(new WorkerEntry(WorkerIncarnation.withUnknownStart("w1"), "service", "127.0.0.1:1",
+                "hall", true, remainingMillis, new ComputeResources(0, 64_000, 32_768, 0), Set.of(), "r"));
     }
 
     @Test
@@ -110,16 +110,16 @@
         Task serves = running(serving(1, 100, false), TestJobs.ID);
         Task fills = running(serving(1, 0, true), "00000000000000bb");
         serves.observe(100, 50, clock.get());
-        assertThat(PaceKeeper.adjust(slot, clock.get())).isEmpty();
+        assertThat(ThrottleController.adjust(slot, clock.get())).isEmpty();
         serves.observe(100, 90, clock.get());
-        assertThat(PaceKeeper.adjust(slot, clock.get()).getFirst().percent()).isEqualTo(50);
+        assertThat(ThrottleController.adjust(slot, clock.get()).getFirst().percent()).isEqualTo(50);
         serves.observe(100, 120, clock.get());
-        assertThat(PaceKeeper.adjust(slot, clock.get()).getFirst().percent()).isEqualTo(0);
+        assertThat(ThrottleController.adjust(slot, clock.get()).getFirst().percent()).isEqualTo(0);
         serves.observe(100, 30, clock.get());
-        assertThat(PaceKeeper.adjust(slot, clock.get())).isEmpty();
+        assertThat(ThrottleController.adjust(slot, clock.get())).isEmpty();
         clock.addAndGet(TimeUnit.SECONDS.toNanos(3));
-        assertThat(PaceKeeper.adjust(slot, clock.get()).getFirst().percent()).isEqualTo(25);
-        assertThat(fills.pace()).isEqualTo(25);
+        assertThat(ThrottleController.adjust(slot, clock.get()).getFirst().percent()).isEqualTo(25);
+        assertThat(fills.speedLimitPercent()).isEqualTo(25);
     }
 
     @Test
@@ -133,7 +133,7 @@
             task.begun(clock.get());
         }
         clock.addAndGet(TimeUnit.SECONDS.toNanos(4));
-        slot.looked(clock.get());
+        slot.recordHeartbeat(clock.get());
         assertThat(new StallGuard(ledger).check(clock.get()).stops()).hasSize(2);
     }
 
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/JournalTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/JournalTest.java
@@ -40,7 +40,7 @@
 
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
     private final LateStore store = new LateStore();
-    private final Ledger ledger = new Ledger(SteadyClock::nanos, 0);
+    private final CellState ledger = new CellState(SteadyClock::nanos, 0);
     private final Supervisor supervisor = new Supervisor("test", events);
     private OwnerLease owner;
     private Journal journal;
@@ -121,7 +121,7 @@
         store.awaitCarriedOut();
         assertThat(stored()).isEqualTo(JobState.COMPLETED);
         assertThat(isWritten(job)).isTrue();
-        assertThat(owner.isOver()).isFalse();
+        assertThat(owner.hasEnded()).isFalse();
     }
 
     @Test
@@ -217,10 +217,10 @@
         byte[] whole = JobCodec.writeRecord(job.record());
         store.commit(new StoreTransaction().put(JobKeys.job(job.id()), whole));
         assertThat(isWritten(job)).isTrue();
-        assertThat(storedRecord().over()).isFalse();
+        assertThat(storedRecord().hasEnded()).isFalse();
         job.setState(JobState.COMPLETED);
         assertThat(isWritten(job)).isTrue();
-        assertThat(storedRecord().over()).isTrue();
+        assertThat(storedRecord().hasEnded()).isTrue();
         assertThat(storedRecord().queue().name()).isEqualTo(job.record().queue().name());
         assertThat(store.get(JobKeys.job(TestJobs.ID)).orElseThrow().value().length)
                 .isLessThan(whole.length / 2);
@@ -238,7 +238,7 @@
         for (Job job : jobs)
         {
             byte[] record = store.get(JobKeys.job(job.id())).orElseThrow().value();
-            assertThat(JobCodec.readRecord(record).over()).isTrue();
+            assertThat(JobCodec.readRecord(record).hasEnded()).isTrue();
         }
         assertThat(store.largestTransaction()).isAtMost(MOST_ENTRIES);
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerElectionTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerElectionTest.java
@@ -46,7 +46,7 @@
         }
 
         @Override
-        public boolean isElder(String except)
+        public boolean isLongerRunning(String except)
         {
             return elder;
         }
@@ -73,7 +73,7 @@
                 () -> SteadyClock.nanos() * CLOCK_SPEED);
         CellConfig config = new CellConfig(1, List.of());
         election = new OwnerElection("bole-2", platform, () -> config, monitor, new TestRanking(),
-                new AdviceLines(platform.advice(), events), new WaitingFirstScore(0.5),
+                new AdviceDispatcher(platform.advice(), events), new WaitingFirstScore(0.5),
                 supervisor.child("owner"), 60, events);
         supervisor.start("election", election);
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerMonitorTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerMonitorTest.java
@@ -87,7 +87,7 @@
         watch();
         clock.addAndGet(PAST_GRACE);
         assertThat(isSuspectedWithin(500)).isFalse();
-        assertThat(monitor.isSilent(OWNER)).isTrue();
+        assertThat(monitor.isOwnerUnresponsive(OWNER)).isTrue();
     }
 
     @Test
@@ -128,7 +128,7 @@
         watch(unknowing, others);
         clock.addAndGet(PAST_GRACE);
         assertThat(isSuspectedWithin(400)).isFalse();
-        assertThat(unknowing.isSilent(OWNER)).isFalse();
+        assertThat(unknowing.isOwnerUnresponsive(OWNER)).isFalse();
     }
 
     @Test
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerTermTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerTermTest.java
@@ -19,19 +19,19 @@
 import org.gaugehollow.job.Customers;
 import org.gaugehollow.job.JobCodec;
 import org.gaugehollow.job.JobKeys;
+import org.gaugehollow.job.JobProgress;
 import org.gaugehollow.job.JobProgress.RoundProgress;
 import org.gaugehollow.job.JobProgress.StepProgress;
 import org.gaugehollow.job.JobProgress.TaskProgress;
-import org.gaugehollow.job.JobProgress;
 import org.gaugehollow.job.JobRecord;
 import org.gaugehollow.job.JobSpec;
 import org.gaugehollow.job.JobState;
 import org.gaugehollow.job.StepSpec;
 import org.gaugehollow.platform.StoreTransaction;
 import org.gaugehollow.platform.StoredValue;
-import org.gaugehollow.worker.Advice.Ticket;
 import org.gaugehollow.worker.Advice;
-import org.gaugehollow.worker.OrderResult;
+import org.gaugehollow.worker.Advice.Ticket;
+import org.gaugehollow.worker.CommandResult;
 import org.gaugehollow.worker.RunEnd;
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
@@ -160,7 +160,7 @@
         platform.fakeStore().silenceWatches(true);
         acceptAnother();
         assertThat(TestJobs.within(500, () -> worker.begun().size() > 1)).isFalse();
-        term.term().noteWritten(OTHER_ID);
+        term.term().onJobWritten(OTHER_ID);
         List<String> both = List.of(TASK + "/1", OTHER_ID + ".0.0.0/1");
         assertThat(TestJobs.within(3_000, () -> worker.begun().equals(both))).isTrue();
         platform.fakeStore().silenceWatches(false);
@@ -182,7 +182,7 @@
         platform.fakeStore().silenceWatches(true);
         acceptAnother();
         platform.store().commit(new StoreTransaction().put(JobKeys.cancel(OTHER_ID), new byte[]{'1'}));
-        term.term().noteWritten(OTHER_ID);
+        term.term().onJobWritten(OTHER_ID);
         assertThat(TestJobs.within(1_500, () -> worker.begun().size() > 1)).isFalse();
         platform.fakeStore().silenceWatches(false);
         assertThat(TestJobs.within(500, () -> worker.begun().size() > 1)).isFalse();
@@ -192,7 +192,7 @@
     void aJobThatIsOverIsNotStartedByTheNextOwner() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        JobRecord over = TestJobs.job(TestJobs.ID, ONE).whenOver();
+        JobRecord over = TestJobs.job(TestJobs.ID, ONE).toTombstone();
         platform.store()
                 .commit(new StoreTransaction().put(JobKeys.job(TestJobs.ID), JobCodec.writeRecord(over)));
         beginTerm();
@@ -286,7 +286,7 @@
         beginTerm();
         accept(ONE);
         assertThat(TestJobs.within(6_000, () -> worker.begun().equals(List.of(TASK + "/2")))).isTrue();
-        assertThat(worker.arriveLate()).isEqualTo(OrderResult.OLD_RUN);
+        assertThat(worker.arriveLate()).isEqualTo(CommandResult.OLD_RUN);
         assertThat(worker.begun()).containsExactly(TASK + "/2");
     }
 
@@ -386,7 +386,8 @@
         assertThat(TestJobs.within(2_000, () -> worker.startsAsked() > 0)).isFalse();
         worker.setSilent(false);
         boolean begun = TestJobs.within(5_000, () -> worker.begun().equals(List.of(TASK + "/1")));
-        assertWithMessage("begun " + worker.begun() + ", term over: " + lease.isOver() + ' ' + lease.reason())
+        assertWithMessage(
+                "begun " + worker.begun() + ", term over: " + lease.hasEnded() + ' ' + lease.reason())
                 .that(begun).isTrue();
     }
 
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerRehearsalTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerWarmupTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Test;
 
 /** The rehearsal goes through whole jobs, so that it uses the code that an owner needs. */
-class OwnerRehearsalTest
+class OwnerWarmupTest
 {
     @Test
     void eachRoundBringsAllItsJobsToTheirEnd()
     {
-        OwnerRehearsal rehearsal = new OwnerRehearsal(null, null, new WaitingFirstScore(0.5));
+        OwnerWarmup rehearsal = new OwnerWarmup(null, null, new WaitingFirstScore(0.5));
         assertThat(rehearsal.playRound()).isEqualTo(12);
         assertThat(rehearsal.playRound()).isEqualTo(12);
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/PlannerLoadTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/PlannerLoadTest.java
@@ -28,7 +28,7 @@
     private static final int TASKS = 9;
     private static final QueueSpec PATIENT = new QueueSpec("patient", "service", 2, 2, 1_200, 2.2, null);
 
-    private final Ledger ledger = new Ledger(SteadyClock::nanos, TimeUnit.SECONDS.toNanos(15));
+    private final CellState ledger = new CellState(SteadyClock::nanos, TimeUnit.SECONDS.toNanos(15));
     private final CountingTickets tickets = new CountingTickets();
     private final Planner planner = new Planner(ledger, tickets, new WaitingFirstScore(0.5));
 
@@ -38,20 +38,20 @@
         private int comparisons;
 
         @Override
-        public Optional<String> ticket(Step step, WorkerSlot slot)
+        public Optional<String> ticket(Step step, TrackedWorker slot)
         {
             return Optional.empty();
         }
 
         @Override
-        public boolean isBarred(Step step, WorkerSlot slot)
+        public boolean isDenied(Step step, TrackedWorker slot)
         {
             comparisons++;
             return false;
         }
 
         @Override
-        public boolean isAllowed(Step step, WorkerSlot slot)
+        public boolean isAllowed(Step step, TrackedWorker slot)
         {
             return true;
         }
@@ -74,7 +74,7 @@
     {
         for (int i = 0; i < WORKERS; i++)
         {
-            ledger.list(TestJobs.worker("w" + i, WORKER_CPU)).looked(SteadyClock.nanos());
+            ledger.list(TestJobs.worker("w" + i, WORKER_CPU)).recordHeartbeat(SteadyClock.nanos());
         }
         for (int i = 0; i < JOBS; i++)
         {
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/PreemptionTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/PreemptionTest.java
@@ -33,16 +33,16 @@
     private static final QueueSpec TIGHT = new QueueSpec("tight", "service", 1, 3, 0, 0.5, null);
 
     private final AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(1_000));
-    private final Ledger ledger = new Ledger(clock::get, TimeUnit.SECONDS.toNanos(13));
+    private final CellState ledger = new CellState(clock::get, TimeUnit.SECONDS.toNanos(13));
     private final Planner planner = new Planner(ledger, new NoTickets(), new WaitingFirstScore(0.5));
-    private WorkerSlot worker;
+    private TrackedWorker worker;
     private long wallMillis;
 
     @BeforeEach
     void listWorker()
     {
         worker = ledger.list(TestJobs.worker("w1", WHOLE_WORKER));
-        worker.setHeld(true);
+        worker.setLeaseHeld(true);
     }
 
     private static StepSpec step(int count, int cpu, boolean checkpointing)
@@ -68,12 +68,12 @@
 
     private static List<Effects.Stop> stops(Planner.Plan plan)
     {
-        return plan.madeRoom().stream().flatMap(room -> room.effects().stops().stream()).toList();
+        return plan.preemptions().stream().flatMap(room -> room.effects().stops().stream()).toList();
     }
 
     private void end(Effects.Stop stop, long number)
     {
-        ledger.look(worker,
+        ledger.applyHeartbeat(worker,
                 TestJobs.answer(List.of(), List.of(TestJobs.ended(number, stop.task(), RunEnd.STOPPED))),
                 number - 1, clock.get());
     }
@@ -156,11 +156,11 @@
     void jobsThatCanStillBeInTimeGoBeforeThoseThatCannot()
     {
         accept(LARGE, URGENT, 1, step(1, WHOLE_WORKER, true));
-        worker.setHeld(false);
+        worker.setLeaseHeld(false);
         plan();
         wallMillis += 4_000;
         accept(SMALL, URGENT, 2, step(1, WHOLE_WORKER, true));
-        worker.setHeld(true);
+        worker.setLeaseHeld(true);
         List<Planner.Start> starts = plan().starts();
         assertThat(starts).hasSize(1);
         assertThat(starts.getFirst().task().step().job().id()).isEqualTo(SMALL);
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/QuotaPropertyTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/QuotaPropertyTest.java
@@ -23,10 +23,10 @@
 import org.gaugehollow.job.JobProgress;
 import org.gaugehollow.job.JobRecord;
 import org.gaugehollow.job.StepSpec;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.placement.WaitingFirstScore;
-import org.gaugehollow.worker.HoldAnswer.EndedRun;
-import org.gaugehollow.worker.HoldAnswer.RunningRun;
+import org.gaugehollow.worker.HeartbeatReply.EndedRun;
+import org.gaugehollow.worker.HeartbeatReply.RunningRun;
 import org.gaugehollow.worker.RunEnd;
 
 import net.jqwik.api.Example;
@@ -112,9 +112,9 @@
                 }
                 List<RunningRun> rows = running.values().stream()
                         .map(start -> new RunningRun(start.task().name(), start.run(), "", 1, 0)).toList();
-                WorkerSlot slot = ledger.worker(id).orElseThrow();
-                ledger.look(slot, TestJobs.answer(rows, List.copyOf(ended)), seen.getOrDefault(id, 0L),
-                        clock.get());
+                TrackedWorker slot = ledger.worker(id).orElseThrow();
+                ledger.applyHeartbeat(slot, TestJobs.answer(rows, List.copyOf(ended)),
+                        seen.getOrDefault(id, 0L), clock.get());
                 seen.put(id, ends);
             }
         }
@@ -124,7 +124,7 @@
         {
             running.clear();
             arriving.clear();
-            ledger.lost(ledger.worker(id).orElseThrow(), WorkerEnd.LAPSED);
+            ledger.onWorkerLost(ledger.worker(id).orElseThrow(), WorkerLossCause.LAPSED);
             silent = false;
         }
     }
@@ -139,7 +139,7 @@
     /** The largest quota since each start was decided: one that falls stops nothing. */
     private final Map<String, Integer> allowed = new HashMap<>();
     private final Map<String, String> customerOf = new HashMap<>();
-    private Ledger ledger;
+    private CellState ledger;
     private Planner planner;
     private long version = 1;
 
@@ -189,10 +189,9 @@
     {
         List<Customers.Declared> declared = CUSTOMERS
                 .stream().map(
-                        name -> new Customers.Declared(
-                                new Customer(name, 1,
-                                        new Amounts(Customer.NO_LIMIT, quotaUnits.get(name) * CPU_PER_UNIT,
-                                                Customer.NO_LIMIT, Customer.NO_LIMIT)),
+                        name -> new Customers.Declared(new Customer(name, 1,
+                                new ComputeResources(Customer.NO_LIMIT, quotaUnits.get(name) * CPU_PER_UNIT,
+                                        Customer.NO_LIMIT, Customer.NO_LIMIT)),
                                 List.of("key of " + name)))
                 .toList();
         ledger.configure(new CellConfig(version, List.of(), List.of("service"), Customers.of(declared)));
@@ -201,7 +200,7 @@
 
     private void begin()
     {
-        ledger = new Ledger(clock::get, LEASE_NANOS);
+        ledger = new CellState(clock::get, LEASE_NANOS);
         planner = new Planner(ledger, new NoTickets(), new WaitingFirstScore(0.5));
         seen.clear();
         configure();
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/QuotaWatchTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/QuotaWatchTest.java
@@ -13,13 +13,14 @@
 import org.gaugehollow.event.Event;
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.HybridClock;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.junit.jupiter.api.Test;
 
 /** What the log says of a customer whose work waits for its quota. */
 class QuotaWatchTest
 {
-    private static final Map<String, Amounts> NORTH = Map.of("north", new Amounts(0, 1_000, 0, 0));
+    private static final Map<String, ComputeResources> NORTH = Map.of("north",
+            new ComputeResources(0, 1_000, 0, 0));
 
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
     private final QuotaWatch watch = new QuotaWatch(events);
@@ -29,7 +30,7 @@
         return events.since(0).stream().map(Event::name).toList();
     }
 
-    private void plan(Map<String, Amounts> atQuota, long millis)
+    private void plan(Map<String, ComputeResources> atQuota, long millis)
     {
         watch.planned(atQuota, TimeUnit.MILLISECONDS.toNanos(millis));
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/RoomPropertyTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/RoomPropertyTest.java
@@ -12,7 +12,7 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 import org.gaugehollow.placement.WaitingFirstScore;
-import org.gaugehollow.worker.HoldAnswer.RunningRun;
+import org.gaugehollow.worker.HeartbeatReply.RunningRun;
 import org.gaugehollow.worker.RunEnd;
 
 import net.jqwik.api.ForAll;
@@ -30,10 +30,10 @@
     private static final int KINDS = 5;
 
     private final AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(1_000));
-    private final Ledger ledger = new Ledger(clock::get, TimeUnit.SECONDS.toNanos(14));
+    private final CellState ledger = new CellState(clock::get, TimeUnit.SECONDS.toNanos(14));
     private final Planner planner = new Planner(ledger, new NoTickets(), new WaitingFirstScore(0.5));
     private final List<Task> begun = new ArrayList<>();
-    private WorkerSlot slot;
+    private TrackedWorker slot;
     private int jobs;
     private long ends;
 
@@ -54,7 +54,7 @@
     private void tellRoom(int units)
     {
         slot = ledger.list(TestJobs.worker("w1", units * CPU_PER_UNIT));
-        slot.looked(clock.get());
+        slot.recordHeartbeat(clock.get());
     }
 
     private void accept(int units)
@@ -83,14 +83,14 @@
             Task task = begun.remove(which % begun.size());
             ends++;
             RunEnd how = task.phase() == Task.Phase.STOPPING ? RunEnd.STOPPED : RunEnd.DONE;
-            ledger.look(slot, TestJobs.answer(rows(), List.of(TestJobs.ended(ends, task, how))), ends - 1,
-                    clock.get());
+            ledger.applyHeartbeat(slot, TestJobs.answer(rows(), List.of(TestJobs.ended(ends, task, how))),
+                    ends - 1, clock.get());
         }
     }
 
     private void look()
     {
-        ledger.look(slot, TestJobs.answer(rows(), List.of()), ends, clock.get());
+        ledger.applyHeartbeat(slot, TestJobs.answer(rows(), List.of()), ends, clock.get());
     }
 
     private List<RunningRun> rows()
@@ -110,7 +110,7 @@
         if (!starts.isEmpty())
         {
             assertWithMessage("room %s, used %s", slot.entry().capacity(), slot.used())
-                    .that(slot.isOverfull()).isFalse();
+                    .that(slot.isOvercommitted()).isFalse();
         }
     }
 
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/ShrinkingRoomTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/ShrinkingRoomTest.java
@@ -83,7 +83,7 @@
     /** The room of the worker as the owner knows it, in processors. */
     private int room()
     {
-        Ledger ledger = term.term().ledger();
+        CellState ledger = term.term().cellState();
         synchronized (ledger)
         {
             return ledger.worker("w1").map(slot -> slot.entry().capacity().cpuMillis()).orElse(0)
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/SimulatedCell.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/SimulatedCell.java
@@ -17,8 +17,8 @@
 import org.gaugehollow.job.JobRecord;
 import org.gaugehollow.job.JobState;
 import org.gaugehollow.placement.WaitingFirstScore;
-import org.gaugehollow.worker.HoldAnswer.EndedRun;
-import org.gaugehollow.worker.HoldAnswer.RunningRun;
+import org.gaugehollow.worker.HeartbeatReply.EndedRun;
+import org.gaugehollow.worker.HeartbeatReply.RunningRun;
 import org.gaugehollow.worker.RunEnd;
 
 /**
@@ -43,7 +43,7 @@
         private final String name;
         private final List<Run> runs = new ArrayList<>();
         private final List<EndedRun> ends = new ArrayList<>();
-        private WorkerSlot slot;
+        private TrackedWorker slot;
         private int life;
         private long downUntilMillis;
         private boolean isDown;
@@ -63,7 +63,7 @@
             isDown = false;
             lastEnd = 0;
             slot = ledger.list(TestJobs.worker(name + '-' + life, WORKER_CPU));
-            slot.looked(clock.get());
+            slot.recordHeartbeat(clock.get());
             lookedMillis = nowMillis;
         }
 
@@ -84,7 +84,7 @@
             if (isDown && nowMillis >= downUntilMillis)
             {
                 slot.unlisted();
-                take(ledger.lost(slot, WorkerEnd.CRASHED));
+                take(ledger.onWorkerLost(slot, WorkerLossCause.CRASHED));
                 begin();
             }
             if (!isDown)
@@ -126,12 +126,12 @@
             lookedMillis = nowMillis;
             if (isDown)
             {
-                slot.missed(clock.get(), !isDark);
+                slot.recordMissedHeartbeat(clock.get(), !isDark);
                 return;
             }
             List<RunningRun> rows = runs.stream()
                     .map(run -> new RunningRun(run.task().name(), run.number(), "", 1, 0)).toList();
-            take(ledger.look(slot, TestJobs.answer(rows, List.copyOf(ends)), 0, clock.get()));
+            take(ledger.applyHeartbeat(slot, TestJobs.answer(rows, List.copyOf(ends)), 0, clock.get()));
             ends.clear();
         }
 
@@ -152,9 +152,9 @@
     }
 
     private final AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(1_000));
-    private final Ledger ledger = new Ledger(clock::get, TimeUnit.SECONDS.toNanos(14));
+    private final CellState ledger = new CellState(clock::get, TimeUnit.SECONDS.toNanos(14));
     private final Planner planner = new Planner(ledger, new NoTickets(), new WaitingFirstScore(0.5));
-    private final SilentWorkerGuard silentWorkerGuard = new SilentWorkerGuard(ledger);
+    private final UnresponsiveWorkerGuard silentWorkerGuard = new UnresponsiveWorkerGuard(ledger);
     private final List<Machine> machines = new ArrayList<>();
     private final Set<String> harmful = new HashSet<>();
     private final Map<String, Long> givenUpMillis = new HashMap<>();
@@ -213,7 +213,7 @@
             clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(STEP_MILLIS));
             machines.forEach(Machine::step);
             silentWorkerGuard.check(clock.get());
-            take(ledger.giveUpHarmful());
+            take(ledger.failPoisonTasks());
             planner.plan(clock.get(), nowMillis).starts().forEach(this::start);
         }
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/SlowWorkerGuardTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/SlowWorkerGuardTest.java
@@ -13,7 +13,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicLong;
 
-import org.gaugehollow.worker.HoldAnswer.RunningRun;
+import org.gaugehollow.worker.HeartbeatReply.RunningRun;
 import org.junit.jupiter.api.Test;
 
 /** Slow workers are told from slow tasks. */
@@ -25,10 +25,10 @@
     private static final int WORKERS = 4;
 
     private final AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(1_000));
-    private final Ledger ledger = new Ledger(clock::get, 0);
+    private final CellState ledger = new CellState(clock::get, 0);
     private final SlowWorkerGuard guard = new SlowWorkerGuard(ledger);
-    private final List<WorkerSlot> slots = new ArrayList<>();
-    private final Map<WorkerSlot, List<Task>> tasks = new HashMap<>();
+    private final List<TrackedWorker> slots = new ArrayList<>();
+    private final Map<TrackedWorker, List<Task>> tasks = new HashMap<>();
 
     /** Each job has one task on each worker. */
     private void runOnAllWorkers(String... jobs)
@@ -59,7 +59,7 @@
         {
             runs.add(new RunningRun(there.get(i).name(), 1, "", percents[i], 0));
         }
-        ledger.look(slots.get(worker), TestJobs.answer(runs, List.of()), 0, clock.get());
+        ledger.applyHeartbeat(slots.get(worker), TestJobs.answer(runs, List.of()), 0, clock.get());
     }
 
     private void lookAtNormalWorkers(int... percents)
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/SummaryWriterTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/SummaryWriterTest.java
@@ -26,7 +26,7 @@
         long revision = store.commit(new StoreTransaction().put(JobKeys.OWNER, new byte[]{'o'}, lease))
                 .orElseThrow();
         OwnerLease owner = new OwnerLease("bole-1", revision, lease, OwnerLease.UNKNOWN_FENCE);
-        Ledger ledger = new Ledger(SteadyClock::nanos, 0);
+        CellState ledger = new CellState(SteadyClock::nanos, 0);
         Thread writer = OwnerTerm.inBackground("summary", new SummaryWriter(store, ledger, owner)::run);
         long end = SteadyClock.nanos() + TimeUnit.SECONDS.toNanos(5);
         while (store.get(JobKeys.SUMMARY).isEmpty() && SteadyClock.nanos() < end)
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/TestJobs.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/TestJobs.java
@@ -14,15 +14,15 @@
 import org.gaugehollow.job.JobSpec;
 import org.gaugehollow.job.QueueSpec;
 import org.gaugehollow.job.StepSpec;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.time.SteadyClock;
-import org.gaugehollow.worker.HoldAnswer;
-import org.gaugehollow.worker.HoldAnswer.EndedRun;
-import org.gaugehollow.worker.HoldAnswer.RunningRun;
-import org.gaugehollow.worker.OrderResult;
+import org.gaugehollow.worker.CommandResult;
+import org.gaugehollow.worker.HeartbeatReply;
+import org.gaugehollow.worker.HeartbeatReply.EndedRun;
+import org.gaugehollow.worker.HeartbeatReply.RunningRun;
 import org.gaugehollow.worker.RunEnd;
 import org.gaugehollow.worker.WorkerEntry;
-import org.gaugehollow.worker.WorkerLife;
+import org.gaugehollow.worker.WorkerIncarnation;
 
 /** Jobs, workers and answers for the tests of this package. */
 final class TestJobs
@@ -76,18 +76,18 @@
 
     static WorkerEntry worker(String id, int cpu)
     {
-        return worker(WorkerLife.only(id), cpu);
+        return worker(WorkerIncarnation.withUnknownStart(id), cpu);
     }
 
-    static WorkerEntry worker(WorkerLife life, int cpu)
+    static WorkerEntry worker(WorkerIncarnation life, int cpu)
     {
         return new WorkerEntry(life, "service", "127.0.0.1:1", "hall", false, -1,
-                new Amounts(0, cpu, 32_768, 0), Set.of("a", "r1-1"), "r1-1");
+                new ComputeResources(0, cpu, 32_768, 0), Set.of("a", "r1-1"), "r1-1");
     }
 
-    static HoldAnswer answer(List<RunningRun> running, List<EndedRun> ended)
+    static HeartbeatReply answer(List<RunningRun> running, List<EndedRun> ended)
     {
-        return new HoldAnswer(OrderResult.DONE, 1_000, running, ended);
+        return new HeartbeatReply(CommandResult.DONE, 1_000, running, ended);
     }
 
     static RunningRun running(Task task)
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/TestTerm.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/TestTerm.java
@@ -66,7 +66,7 @@
         supervisor = new Supervisor(box, events);
         lease = new OwnerLease(box, revision, 1, previousFence);
         term = new OwnerTerm(platform, lease, events, supervisor.child("term"), config,
-                new AdviceLines(platform.advice(), events), new WaitingFirstScore(0.5), retentionNanos);
+                new AdviceDispatcher(platform.advice(), events), new WaitingFirstScore(0.5), retentionNanos);
         confirm();
         term.begin();
     }
@@ -81,7 +81,7 @@
     {
         while (true)
         {
-            lease.confirmed();
+            lease.recordConfirmation();
             Thread.sleep(CONFIRM_MILLIS);
         }
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/UnconfirmedTermTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/UnconfirmedTermTest.java
@@ -49,7 +49,7 @@
     {
         term.stopConfirming();
         long silence = TimeUnit.NANOSECONDS.toMillis(OwnerLease.LONGEST_SILENCE_NANOS);
-        assertThat(TestJobs.within(silence + SOON_MILLIS, () -> !term.lease().mayOrder())).isTrue();
+        assertThat(TestJobs.within(silence + SOON_MILLIS, () -> !term.lease().maySendCommands())).isTrue();
     }
 
     private void accept() throws InterruptedException
@@ -61,7 +61,7 @@
     {
         boolean begun = TestJobs.within(SOON_MILLIS, () -> worker.isRunning(TASK));
         assertWithMessage("begun " + worker.begun() + ", looks " + worker.looks()).that(begun).isTrue();
-        assertThat(term.lease().isOver()).isFalse();
+        assertThat(term.lease().hasEnded()).isFalse();
     }
 
     /**
@@ -76,7 +76,7 @@
         int looks = worker.looks();
         term.confirm();
         assertThat(TestJobs.within(SOON_MILLIS, () -> worker.looks() > looks)).isTrue();
-        assertThat(term.lease().isOver()).isFalse();
+        assertThat(term.lease().hasEnded()).isFalse();
     }
 
     /**
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/SilentWorkerGuardTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/UnresponsiveWorkerGuardTest.java
@@ -13,28 +13,28 @@
 import org.gaugehollow.job.JobState;
 import org.gaugehollow.job.StepSpec;
 import org.gaugehollow.placement.WaitingFirstScore;
-import org.gaugehollow.worker.HoldAnswer;
+import org.gaugehollow.worker.HeartbeatReply;
 import org.gaugehollow.worker.RunEnd;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
 /** Tasks of which copies may run side by side do not wait for a silent worker's lease. */
-class SilentWorkerGuardTest
+class UnresponsiveWorkerGuardTest
 {
     private static final StepSpec SPECULATIVE = new StepSpec(1, 4_000, 100, 0, 800, List.of(), false, false,
             false, null, null, 0, true, false, null, 0, false, 0);
     private static final long SILENCE = TimeUnit.MILLISECONDS.toNanos(450);
 
     private final AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(1_000));
-    private final Ledger ledger = new Ledger(clock::get, TimeUnit.SECONDS.toNanos(13));
+    private final CellState ledger = new CellState(clock::get, TimeUnit.SECONDS.toNanos(13));
     private final Planner planner = new Planner(ledger, new NoTickets(), new WaitingFirstScore(0.5));
-    private final SilentWorkerGuard guard = new SilentWorkerGuard(ledger);
+    private final UnresponsiveWorkerGuard guard = new UnresponsiveWorkerGuard(ledger);
 
     @BeforeEach
     void listWorkers()
     {
-        ledger.list(TestJobs.worker("w1", 4_000)).setHeld(true);
-        ledger.list(TestJobs.worker("w2", 4_000)).setHeld(true);
+        ledger.list(TestJobs.worker("w1", 4_000)).setLeaseHeld(true);
+        ledger.list(TestJobs.worker("w2", 4_000)).setLeaseHeld(true);
     }
 
     private Planner.Start startOf(StepSpec step)
@@ -51,17 +51,17 @@
         return planner.plan(clock.get(), 0).starts();
     }
 
-    private List<SilentWorkerGuard.LeftCopy> fallSilent(WorkerSlot slot)
+    private List<UnresponsiveWorkerGuard.AbandonedRun> fallSilent(TrackedWorker slot)
     {
-        slot.missed(clock.get(), false);
+        slot.recordMissedHeartbeat(clock.get(), false);
         assertThat(guard.check(clock.get())).isEmpty();
         return guard.check(clock.addAndGet(SILENCE));
     }
 
-    private Effects end(WorkerSlot slot, Task task, int run, RunEnd how)
+    private Effects end(TrackedWorker slot, Task task, int run, RunEnd how)
     {
-        HoldAnswer answer = TestJobs.answer(List.of(), List.of(TestJobs.ended(1, task, run, how)));
-        return ledger.look(slot, answer, 0, clock.addAndGet(1_000_000));
+        HeartbeatReply answer = TestJobs.answer(List.of(), List.of(TestJobs.ended(1, task, run, how)));
+        return ledger.applyHeartbeat(slot, answer, 0, clock.addAndGet(1_000_000));
     }
 
     @Test
@@ -95,8 +95,8 @@
     void aWorkerThatAnswersInBetweenIsNotSilent()
     {
         Planner.Start start = startOf(SPECULATIVE);
-        start.slot().missed(clock.get(), false);
-        start.slot().looked(clock.addAndGet(SILENCE / 2));
+        start.slot().recordMissedHeartbeat(clock.get(), false);
+        start.slot().recordHeartbeat(clock.addAndGet(SILENCE / 2));
         assertThat(guard.check(clock.addAndGet(SILENCE))).isEmpty();
     }
 
@@ -145,9 +145,9 @@
         Planner.Start start = startOf(SPECULATIVE);
         fallSilent(start.slot());
         plan();
-        HoldAnswer answer = TestJobs.answer(List.of(TestJobs.running(start.task(), 1)), List.of());
-        Effects effects = ledger.look(start.slot(), answer, 0, clock.addAndGet(1_000_000));
+        HeartbeatReply answer = TestJobs.answer(List.of(TestJobs.running(start.task(), 1)), List.of());
+        Effects effects = ledger.applyHeartbeat(start.slot(), answer, 0, clock.addAndGet(1_000_000));
         assertThat(effects.stops()).hasSize(1);
-        assertThat(start.slot().accepts()).isFalse();
+        assertThat(start.slot().acceptsStarts()).isFalse();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/WeightRatesTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/WeightRatesTest.java
@@ -26,7 +26,7 @@
     private static final int TASK_CPU = 1_000;
     private static final int SLOTS = 4;
 
-    private final Ledger ledger = new Ledger(() -> NOW_NANOS, 0);
+    private final CellState ledger = new CellState(() -> NOW_NANOS, 0);
     private final Planner planner = new Planner(ledger, new NoTickets(), new WaitingFirstScore(0.5));
     private final List<String> begun = new ArrayList<>();
     private int jobs;
@@ -61,7 +61,7 @@
 
     private void room(int tasks)
     {
-        ledger.list(TestJobs.worker("w1", tasks * TASK_CPU)).looked(NOW_NANOS);
+        ledger.list(TestJobs.worker("w1", tasks * TASK_CPU)).recordHeartbeat(NOW_NANOS);
     }
 
     /**
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/WorkerLivesTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/WorkerLivesTest.java
@@ -13,7 +13,7 @@
 import org.gaugehollow.job.JobProgress;
 import org.gaugehollow.job.JobState;
 import org.gaugehollow.platform.StoreTransaction;
-import org.gaugehollow.worker.OrderResult;
+import org.gaugehollow.worker.CommandResult;
 import org.gaugehollow.worker.RunEnd;
 
 import org.junit.jupiter.api.AfterEach;
@@ -102,7 +102,7 @@
         other.end(TASK, RunEnd.DONE);
         assertThat(TestJobs.within(SOON_MILLIS, () -> second.looks() > 1)).isTrue();
         assertThat(TestJobs.within(SOON_MILLIS, () -> second.stopped().contains(TASK))).isTrue();
-        assertThat(second.arrive(first.lostStart())).isEqualTo(OrderResult.OLD_RUN);
+        assertThat(second.arrive(first.lostStart())).isEqualTo(CommandResult.OLD_RUN);
         assertThat(second.begun()).isEmpty();
     }
 
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/WorkerRosterTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/WorkerSessionsTest.java
@@ -19,7 +19,7 @@
 
 /** Workers whose entries another writer spoils, and a job whose progress cannot be read. */
 @Execution(ExecutionMode.CONCURRENT)
-class WorkerRosterTest
+class WorkerSessionsTest
 {
     private static final String FIRST_JOB = "00000000000000a1";
     private static final String SECOND_JOB = "00000000000000a2";
--- a/gaugehollow/src/test/java/org/gaugehollow/upstream/UpstreamClientTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/upstream/UpstreamClientTest.java
@@ -17,7 +17,7 @@
 
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.HybridClock;
-import org.gaugehollow.model.Amounts;
+import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.ResultCode;
 import org.gaugehollow.net.NetLoops;
@@ -31,7 +31,7 @@
     private static final int QUIET_MILLIS = 300;
     private static final int END = -1;
     private static final UpstreamRequest REQUEST = new UpstreamRequest("task-1", "team", "", "/run",
-            new Amounts(1, 0, 0, 0), "text/plain", new byte[0]);
+            new ComputeResources(1, 0, 0, 0), "text/plain", new byte[0]);
 
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
     private final NetLoops loops = new NetLoops(Optional.empty());
