--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeyEntry.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeyEntry.java
@@ -9,33 +9,33 @@
 import org.gaugehollow.peer.generated.PeerProtocol.Answer;
 import org.gaugehollow.peer.generated.PeerProtocol.KeyRecord;
 
-/** What the owner of a key knows of the one run of its request. */
+/** The owner's record of an idempotency key and of the only run of its request. */
 public final class KeyEntry
 {
-    /** The record's states on the wire. */
+    /** The states of a record in peer messages. */
     static final int INTENDED = 1;
     static final int ENDED = 2;
-    static final int FORGET = 3;
+    static final int NOT_RUN = 3;
 
     private final String team;
     private final String key;
     private final String workload;
     private final String task;
     private final int slot;
-    private final long notedAt;
+    private final long createdAt;
     private final CompletableFuture<Answer> answer = new CompletableFuture<>();
 
-    KeyEntry(String team, String key, String workload, String task, int slot, long notedAt)
+    KeyEntry(String team, String key, String workload, String task, int slot, long createdAt)
     {
         this.team = team;
         this.key = key;
         this.workload = workload;
         this.task = task;
         this.slot = slot;
-        this.notedAt = notedAt;
+        this.createdAt = createdAt;
     }
 
-    static KeyEntry of(KeyRecord record)
+    static KeyEntry fromRecord(KeyRecord record)
     {
         return new KeyEntry(record.getTeam(), record.getKey(), record.getWorkload(), record.getTask(),
                 record.getSlot(), record.getNotedAt());
@@ -44,7 +44,7 @@
     KeyRecord toRecord(int state)
     {
         KeyRecord.Builder record = KeyRecord.newBuilder().setTeam(team).setKey(key).setWorkload(workload)
-                .setTask(task).setSlot(slot).setNotedAt(notedAt).setState(state);
+                .setTask(task).setSlot(slot).setNotedAt(createdAt).setState(state);
         if (state == ENDED)
         {
             record.setAnswer(answer.join());
@@ -52,28 +52,28 @@
         return record.build();
     }
 
-    /** @return the record as it stands */
+    /** @return the record in its current state */
     KeyRecord toRecord()
     {
         return toRecord(answer.isDone() ? ENDED : INTENDED);
     }
 
-    /** @return the record that says the request may run from now on */
+    /** @return the record stating that the request may run */
     public KeyRecord intendedRecord()
     {
         return toRecord(INTENDED);
     }
 
-    /** @return the record that holds the answer; only after the run ended */
+    /** @return the record with the answer; valid only after the run ended */
     public KeyRecord endedRecord()
     {
         return toRecord(ENDED);
     }
 
-    /** @return the record that says the request was surely not run */
+    /** @return the record stating that the request was certainly not run */
     public KeyRecord forgetRecord()
     {
-        return toRecord(FORGET);
+        return toRecord(NOT_RUN);
     }
 
     static String nameOf(String team, String key)
@@ -86,7 +86,7 @@
         return nameOf(team, key);
     }
 
-    /** @return the task id under which it runs or ran */
+    /** @return the task id of the run */
     public String task()
     {
         return task;
@@ -104,10 +104,10 @@
 
     long notedAt()
     {
-        return notedAt;
+        return createdAt;
     }
 
-    /** @return completed with the answer when the run ends */
+    /** @return a future that completes with the answer when the run ends */
     public CompletableFuture<Answer> answer()
     {
         return answer;
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeyLimits.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeyLimits.java
@@ -5,12 +5,13 @@
 package org.gaugehollow.keys;
 
 /**
- * How long and how much is remembered of keys.
+ * Limits of the key records of a box.
  *
- * @param recordMillis how long a record is kept
- * @param skewMillis how far callers' clocks may be from the boxes'
- * @param maxRecords how many records a box keeps of its own slots
+ * @param recordMillis the retention time of a record in milliseconds
+ * @param maxSkewMillis the maximum difference between the clocks of callers and boxes in
+ *            milliseconds
+ * @param maxRecords the maximum number of records for the slots that a box owns
  */
-public record KeyLimits(long recordMillis, long skewMillis, int maxRecords)
+public record KeyLimits(long recordMillis, long maxSkewMillis, int maxRecords)
 {
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeyOwnership.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeyOwnership.java
@@ -16,93 +16,98 @@
 import org.gaugehollow.peer.generated.PeerProtocol.Answer;
 
 /**
- * Makes the key table follow the hall's map: takes slots with their evidence and drops those given
- * away.
+ * Applies assignment maps to the key table: adds gained slots with their records and removes lost
+ * ones.
  */
 public final class KeyOwnership
 {
     private final String self;
     private final KeyTable table;
     private final ReplicaTable replicas;
-    private final KeyReplicator copier;
+    private final KeyReplicator replicator;
     private final LongSupplier wallMillis;
     private final EventLog events;
 
     /**
-     * @param self this box's id
-     * @param table this box's records
-     * @param replicas the copies it keeps
-     * @param copier told when the slots change
-     * @param wallMillis the wall clock
-     * @param events where taken slots are recorded
+     * @param self the id of this box
+     * @param table the key table of this box
+     * @param replicas the replicas held for other boxes
+     * @param replicator notified when the owned slots change
+     * @param wallMillis the wall clock in milliseconds since 1970
+     * @param events the event log for gained slots
      */
-    public KeyOwnership(String self, KeyTable table, ReplicaTable replicas, KeyReplicator copier,
+    public KeyOwnership(String self, KeyTable table, ReplicaTable replicas, KeyReplicator replicator,
             LongSupplier wallMillis, EventLog events)
     {
         this.self = self;
         this.table = table;
         this.replicas = replicas;
-        this.copier = copier;
+        this.replicator = replicator;
         this.wallMillis = wallMillis;
         this.events = events;
     }
 
     /**
-     * Follows a newer map.
+     * Applies a newer assignment map.
      *
-     * @param next the map now in force
+     * @param next the new map
      */
     public synchronized void applyMap(AssignmentMap next)
     {
-        Optional<AssignmentMap> before = replicas.applyMap(next);
-        List<Integer> mine = next.slotsOf(self);
-        List<Integer> lost = table.owned().stream().filter(slot -> !mine.contains(slot)).toList();
-        List<Integer> gained = mine.stream().filter(slot -> !table.owned().contains(slot)).toList();
-        lost.forEach(table::drop);
-        List<Integer> doubtful = gained.stream().filter(slot -> !take(slot, before, next)).toList();
+        Optional<AssignmentMap> previous = replicas.applyMap(next);
+        List<Integer> assigned = next.slotsOf(self);
+        List<Integer> lost = table.owned().stream().filter(slot -> !assigned.contains(slot)).toList();
+        List<Integer> gained = assigned.stream().filter(slot -> !table.owned().contains(slot)).toList();
+        lost.forEach(table::removeSlot);
+        List<Integer> incomplete = gained.stream().filter(slot -> !acquireSlot(slot, previous, next))
+                .toList();
         if (!lost.isEmpty() || !gained.isEmpty())
         {
-            copier.slotsChanged();
+            replicator.requireFullSync();
         }
-        report(gained, doubtful, next.epoch());
-        before.ifPresent(map -> map.boxes().keySet().stream().filter(box -> !next.boxes().containsKey(box))
-                .forEach(replicas::forgetOwner));
+        recordEvents(gained, incomplete, next.epoch());
+        previous.ifPresent(map -> map.boxes().keySet().stream().filter(box -> !next.boxes().containsKey(box))
+                .forEach(replicas::removeOwner));
     }
 
-    private void report(List<Integer> gained, List<Integer> doubtful, long epoch)
+    private void recordEvents(List<Integer> gained, List<Integer> incomplete, long epoch)
     {
-        if (gained.size() > doubtful.size())
+        if (gained.size() > incomplete.size())
         {
             events.record(EventType.SLOTS_TAKEN, self,
-                    gained.size() - doubtful.size() + " slots at epoch " + epoch);
+                    gained.size() - incomplete.size() + " slots at epoch " + epoch);
         }
-        if (!doubtful.isEmpty())
+        if (!incomplete.isEmpty())
         {
-            events.record(EventType.EVIDENCE_MISSING, self, "slots " + doubtful + " at epoch " + epoch);
+            events.record(EventType.EVIDENCE_MISSING, self, "slots " + incomplete + " at epoch " + epoch);
         }
     }
 
-    /** Returns whether all that was ever noted in the slot is known. */
-    private boolean take(int slot, Optional<AssignmentMap> before, AssignmentMap next)
+    /** Adds a slot to the table and returns whether its records are known to be complete. */
+    private boolean acquireSlot(int number, Optional<AssignmentMap> previous, AssignmentMap next)
     {
-        long since = next.slotOwners().get(slot).epoch();
-        String owner = before.map(map -> map.slotOwners().get(slot).box()).orElse("");
-        boolean ownerGone = !next.boxes().containsKey(owner);
-        Optional<KeySlot> evidence = since == 1
-                ? Optional.of(new KeySlot(slot, 0))
-                : replicas.evidenceOf(slot, owner, ownerGone, since);
-        KeySlot taken = evidence.orElseGet(() -> new KeySlot(slot, wallMillis.getAsLong()));
-        closeOrphans(taken);
-        table.take(slot, taken);
-        return evidence.isPresent();
+        long ownedSince = next.slotOwners().get(number).epoch();
+        String owner = previous.map(map -> map.slotOwners().get(number).box()).orElse("");
+        boolean ownerRemoved = !next.boxes().containsKey(owner);
+        Optional<KeySlot> complete = ownedSince == 1
+                ? Optional.of(new KeySlot(number, 0))
+                : replicas.takeComplete(number, owner, ownerRemoved, ownedSince);
+        KeySlot acquired = complete.orElseGet(() -> new KeySlot(number, wallMillis.getAsLong()));
+        closeUnfinished(acquired);
+        table.addSlot(number, acquired);
+        return complete.isPresent();
     }
 
-    /** Runs that the lost owner had begun and not reported: their outcome will never be known here. */
-    private static void closeOrphans(KeySlot slot)
+    /**
+     * Completes requests that the lost owner started but did not report, since their outcome cannot be
+     * determined.
+     */
+    private static void closeUnfinished(KeySlot slot)
     {
         Answer unknown = Answer.newBuilder().setCode(ResultCode.OUTCOME_UNKNOWN.number())
                 .setStatus(ResultCode.OUTCOME_UNKNOWN.httpStatus())
-                .setMessage("the box that had begun the request was lost before it had the answer").build();
+                .setMessage("the box that started the request was lost before it received the answer")
+                .build();
         for (KeyEntry entry : new ArrayList<>(slot.entries().values()))
         {
             entry.answer().complete(unknown);
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeyReplicator.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeyReplicator.java
@@ -20,39 +20,40 @@
 import org.gaugehollow.peer.generated.PeerProtocol.Frame;
 import org.gaugehollow.peer.generated.PeerProtocol.KeyRecord;
 
-/** Copies this box's key records to the box that would succeed it. Thread-safe. */
+/** Replicates the key records of this box to its successor. Thread-safe. */
 public final class KeyReplicator
 {
-    private static final int COPY_MILLIS = 1_500;
+    private static final int COPY_TIMEOUT_MILLIS = 1_500;
 
     private final BoxIdentity self;
-    private final AssignmentMaps halls;
+    private final AssignmentMaps maps;
     private final PeerDirectory directory;
     private final KeyTable table;
     private final ReadWriteLock lock = new ReentrantReadWriteLock();
-    private AssignmentMap.Member syncedWith;
+    private AssignmentMap.Member syncedSuccessor;
 
     /**
-     * @param self this box
-     * @param halls the hall's map, which names the successor
+     * @param self the identity of this box
+     * @param maps the assignment maps, which determine the successor
      * @param directory the links to peers
-     * @param table this box's records
+     * @param table the key table of this box
      */
-    public KeyReplicator(BoxIdentity self, AssignmentMaps halls, PeerDirectory directory, KeyTable table)
+    public KeyReplicator(BoxIdentity self, AssignmentMaps maps, PeerDirectory directory, KeyTable table)
     {
         this.self = self;
-        this.halls = halls;
+        this.maps = maps;
         this.directory = directory;
         this.table = table;
     }
 
     /**
-     * Copies one record and waits until the successor has it. A hall of one box has no successor.
+     * Replicates a record and waits for the successor to accept it. Does nothing if the data hall has
+     * only one box.
      *
      * @param record the record
      * @throws InterruptedException if the process stops
-     * @throws GaugehollowException with {@link ResultCode#NO_COPY} if the successor does not have it
-     *             now
+     * @throws GaugehollowException with {@link ResultCode#NO_COPY} if the successor did not accept the
+     *             record
      */
     public void replicate(KeyRecord record) throws InterruptedException
     {
@@ -70,19 +71,17 @@
         if (!sendIfSynced(target.get(), call))
         {
             throw new GaugehollowException(ResultCode.NO_COPY,
-                    target.get().id() + " does not keep copies of this box");
+                    target.get().id() + " does not accept replicas from this box");
         }
     }
 
-    /**
-     * The slots that this box owns changed: the successor needs the whole of them before the next copy.
-     */
-    public void slotsChanged()
+    /** Forces a full copy to the successor before the next record, since the owned slots changed. */
+    public void requireFullSync()
     {
         lock.writeLock().lock();
         try
         {
-            syncedWith = null;
+            syncedSuccessor = null;
         }
         finally
         {
@@ -91,12 +90,13 @@
     }
 
     /**
-     * Gives slots to a peer with all that is known of them.
+     * Hands slots with all their records over to a peer.
      *
      * @param target the peer
-     * @param slots the slots, in which no request runs
+     * @param slots the slots, which must not have running requests
+     * @param epoch the epoch of the map that the change of owner is based on
      * @throws InterruptedException if the process stops
-     * @throws GaugehollowException if the peer does not have them now
+     * @throws GaugehollowException with {@link ResultCode#NO_COPY} if the peer did not accept the slots
      */
     public void handOver(AssignmentMap.Member target, Collection<Integer> slots, long epoch)
             throws InterruptedException
@@ -105,7 +105,7 @@
                 .addAllFull(table.exportSlots(slots));
         if (!send(target, call))
         {
-            throw new GaugehollowException(ResultCode.NO_COPY, target.id() + " does not take the slots");
+            throw new GaugehollowException(ResultCode.NO_COPY, target.id() + " did not accept the slots");
         }
     }
 
@@ -115,7 +115,7 @@
         lock.readLock().lock();
         try
         {
-            return target.equals(syncedWith) && send(target, call);
+            return target.equals(syncedSuccessor) && send(target, call);
         }
         finally
         {
@@ -128,11 +128,11 @@
         lock.writeLock().lock();
         try
         {
-            syncedWith = null;
+            syncedSuccessor = null;
             CopyCall.Builder call = callBuilder().addAllFull(table.exportSlots(table.owned()));
             if (send(target, call))
             {
-                syncedWith = target;
+                syncedSuccessor = target;
             }
         }
         finally
@@ -146,22 +146,23 @@
         PeerLink link = directory.link(target.peerAddress());
         try
         {
-            return link.call(Frame.newBuilder().setCopy(call), COPY_MILLIS).getCopyReply().getAccepted();
+            return link.call(Frame.newBuilder().setCopy(call), COPY_TIMEOUT_MILLIS).getCopyReply()
+                    .getAccepted();
         }
         catch (GaugehollowException e)
         {
             throw new GaugehollowException(ResultCode.NO_COPY,
-                    "no copy to " + target.id() + ": " + e.getMessage(), e);
+                    "failed to replicate to " + target.id() + ": " + e.getMessage(), e);
         }
     }
 
     private CopyCall.Builder callBuilder()
     {
-        return CopyCall.newBuilder().setOwner(self.id()).setMapEpoch(halls.epoch());
+        return CopyCall.newBuilder().setOwner(self.id()).setMapEpoch(maps.epoch());
     }
 
     private Optional<AssignmentMap.Member> successor()
     {
-        return halls.map().flatMap(map -> map.successorOf(self.id()).map(box -> map.boxes().get(box)));
+        return maps.map().flatMap(map -> map.successorOf(self.id()).map(box -> map.boxes().get(box)));
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeySlot.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeySlot.java
@@ -12,7 +12,10 @@
 import org.gaugehollow.peer.generated.PeerProtocol.KeyRecord;
 import org.gaugehollow.peer.generated.PeerProtocol.SlotEvidence;
 
-/** The records of one key slot, on its owner or as a copy. Not thread-safe: its table guards it. */
+/**
+ * The records of a key slot, held by its owner or as a replica. Not thread-safe; guarded by the
+ * enclosing table.
+ */
 final class KeySlot
 {
     private final int number;
@@ -21,7 +24,9 @@
     private boolean moving;
 
     /**
-     * completeSince: every key noted since then is here; 0 says that there never was an earlier one.
+     * @param number the slot number
+     * @param completeSince the time since which all registered keys are known, in milliseconds since
+     *            1970, or 0 if all keys ever registered are known
      */
     KeySlot(int number, long completeSince)
     {
@@ -29,28 +34,28 @@
         this.completeSince = completeSince;
     }
 
-    static KeySlot of(SlotEvidence evidence)
+    static KeySlot fromMessage(SlotEvidence message)
     {
-        KeySlot slot = new KeySlot(evidence.getSlot(), evidence.getCompleteSince());
-        evidence.getRecordsList().forEach(slot::apply);
+        KeySlot slot = new KeySlot(message.getSlot(), message.getCompleteSince());
+        message.getRecordsList().forEach(slot::apply);
         return slot;
     }
 
-    SlotEvidence toEvidence()
+    SlotEvidence toMessage()
     {
-        SlotEvidence.Builder evidence = SlotEvidence.newBuilder().setSlot(number)
+        SlotEvidence.Builder message = SlotEvidence.newBuilder().setSlot(number)
                 .setCompleteSince(completeSince);
-        entries.values().forEach(entry -> evidence.addRecords(entry.toRecord()));
-        return evidence.build();
+        entries.values().forEach(entry -> message.addRecords(entry.toRecord()));
+        return message.build();
     }
 
-    /** Takes over a record that was copied here. */
+    /** Applies a replicated record. */
     void apply(KeyRecord record)
     {
         String name = KeyEntry.nameOf(record.getTeam(), record.getKey());
-        KeyEntry held = entries.get(name);
-        boolean sameRun = held != null && held.task().equals(record.getTask());
-        if (record.getState() == KeyEntry.FORGET)
+        KeyEntry existing = entries.get(name);
+        boolean sameRun = existing != null && existing.task().equals(record.getTask());
+        if (record.getState() == KeyEntry.NOT_RUN)
         {
             if (sameRun)
             {
@@ -60,16 +65,16 @@
         }
         if (!sameRun)
         {
-            held = KeyEntry.of(record);
-            entries.put(name, held);
+            existing = KeyEntry.fromRecord(record);
+            entries.put(name, existing);
         }
         if (record.getState() == KeyEntry.ENDED)
         {
-            held.answer().complete(record.getAnswer());
+            existing.answer().complete(record.getAnswer());
         }
     }
 
-    /** The same slot, known to be complete only from a later time on. */
+    /** Returns a copy of this slot that is complete only since a later time. */
     KeySlot completeOnlySince(long since)
     {
         KeySlot slot = new KeySlot(number, since);
@@ -87,7 +92,7 @@
         return entries;
     }
 
-    boolean moving()
+    boolean isMoving()
     {
         return moving;
     }
@@ -97,22 +102,22 @@
         moving = value;
     }
 
-    boolean hasRunning()
+    boolean hasUnfinished()
     {
         return entries.values().stream().anyMatch(entry -> !entry.answer().isDone());
     }
 
-    int forgetBefore(long time)
+    int evictBefore(long time)
     {
-        List<KeyEntry> old = new ArrayList<>();
+        List<KeyEntry> expired = new ArrayList<>();
         for (KeyEntry entry : entries.values())
         {
             if (entry.notedAt() < time && entry.answer().isDone())
             {
-                old.add(entry);
+                expired.add(entry);
             }
         }
-        old.forEach(entry -> entries.remove(entry.name()));
-        return old.size();
+        expired.forEach(entry -> entries.remove(entry.name()));
+        return expired.size();
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeyTable.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeyTable.java
@@ -18,14 +18,18 @@
 import org.gaugehollow.peer.generated.PeerProtocol.Answer;
 import org.gaugehollow.peer.generated.PeerProtocol.SlotEvidence;
 
-/** The key slots that this box owns, with the record of every key asked lately. Thread-safe. */
+/**
+ * Holds the key slots that this box owns with the records of recently used idempotency keys.
+ * Thread-safe.
+ */
 public final class KeyTable
 {
     /**
-     * The result of asking for a key.
+     * The result of a registration.
      *
-     * @param entry the key's record
-     * @param first whether this ask made it, and so has to run the request
+     * @param entry the record of the key
+     * @param first whether this registration created the record, so that the caller must run the
+     *            request
      */
     public record Registration(KeyEntry entry, boolean first)
     {
@@ -37,8 +41,8 @@
     private int records;
 
     /**
-     * @param limits how long and how much is remembered
-     * @param wallMillis the wall clock
+     * @param limits the limits of the records
+     * @param wallMillis the wall clock in milliseconds since 1970
      */
     public KeyTable(KeyLimits limits, LongSupplier wallMillis)
     {
@@ -47,73 +51,80 @@
     }
 
     /**
-     * Asks for a key: the first ask makes its record, later ones get the same one.
+     * Creates the record of a key, or joins the existing one.
      *
-     * @param team the caller's team
-     * @param key the key
-     * @param workload the workload asked for
-     * @param issuedAt when the caller made the key, in milliseconds since 1970; 0 where it did not say
-     * @param task the task id for a first run
-     * @return the record, and whether this ask has to run the request
-     * @throws GaugehollowException if the key may have run before and nothing is known of it, or if the
-     *             slot is not here
+     * @param team the team of the caller
+     * @param key the idempotency key
+     * @param workload the requested workload
+     * @param issuedAt the time at which the caller issued the key, in milliseconds since 1970, or 0 if
+     *            unknown
+     * @param task the task id to use if the request must run
+     * @return the record, and whether the caller must run the request
+     * @throws GaugehollowException if the key may have been used before without a record of it, if it
+     *             was used for another workload, if the slot is not available here or if the table is
+     *             full
      */
     public synchronized Registration register(String team, String key, String workload, long issuedAt,
             String task)
     {
-        int number = KeySlots.slotOf(team, key);
-        KeySlot slot = slots.get(number);
+        int slotNumber = KeySlots.slotOf(team, key);
+        KeySlot slot = slots.get(slotNumber);
         if (slot == null)
         {
-            throw new GaugehollowException(ResultCode.KEY_MOVING, "the key's range is not here");
+            throw new GaugehollowException(ResultCode.KEY_MOVING,
+                    "the slot of the key is not owned by this box");
         }
-        KeyEntry held = slot.entries().get(KeyEntry.nameOf(team, key));
-        if (held != null)
+        KeyEntry existing = slot.entries().get(KeyEntry.nameOf(team, key));
+        if (existing != null)
         {
-            if (!held.workload().equals(workload))
+            if (!existing.workload().equals(workload))
             {
                 throw new GaugehollowException(ResultCode.KEY_CONFLICT,
-                        "the key was used for " + held.workload());
+                        "the key was already used for workload " + existing.workload());
             }
-            return new Registration(held, false);
+            return new Registration(existing, false);
         }
-        if (slot.moving())
+        if (slot.isMoving())
         {
-            throw new GaugehollowException(ResultCode.KEY_MOVING, "the key's range is changing owner");
+            throw new GaugehollowException(ResultCode.KEY_MOVING, "the slot of the key is being handed over");
         }
-        checkNeverRan(slot, issuedAt);
+        checkNotRunBefore(slot, issuedAt);
         if (records >= limits.maxRecords())
         {
             throw new GaugehollowException(ResultCode.QUEUE_FULL,
-                    "the box keeps as many key records as it may");
+                    "the maximum number of key records is reached");
         }
-        KeyEntry entry = new KeyEntry(team, key, workload, task, number, wallMillis.getAsLong());
+        KeyEntry entry = new KeyEntry(team, key, workload, task, slotNumber, wallMillis.getAsLong());
         slot.entries().put(entry.name(), entry);
         records++;
         return new Registration(entry, true);
     }
 
-    /** A key without a record is new only if its record could not have been lost or forgotten. */
-    private void checkNeverRan(KeySlot slot, long issuedAt)
+    /**
+     * Checks that no record of the key can have been lost or evicted, so that a key without record is
+     * new.
+     */
+    private void checkNotRunBefore(KeySlot slot, long issuedAt)
     {
         long now = wallMillis.getAsLong();
-        if (issuedAt > now + limits.skewMillis())
+        if (issuedAt > now + limits.maxSkewMillis())
         {
-            throw new GaugehollowException(ResultCode.BAD_REQUEST, "the key's time lies in the future");
+            throw new GaugehollowException(ResultCode.BAD_REQUEST,
+                    "the issue time of the key is in the future");
         }
-        boolean lost = slot.completeSince() > 0 && issuedAt < slot.completeSince() + limits.skewMillis();
-        boolean forgotten = issuedAt > 0 && issuedAt < now - limits.recordMillis() + limits.skewMillis();
-        if (lost || forgotten)
+        boolean lost = slot.completeSince() > 0 && issuedAt < slot.completeSince() + limits.maxSkewMillis();
+        boolean evicted = issuedAt > 0 && issuedAt < now - limits.recordMillis() + limits.maxSkewMillis();
+        if (lost || evicted)
         {
             throw new GaugehollowException(ResultCode.EVIDENCE_LOST,
                     lost
-                            ? "the boxes that would know whether the key ran were lost"
-                            : "the key is older than its record");
+                            ? "the boxes that held the record of the key were lost"
+                            : "the key is older than the retention time of its record");
         }
     }
 
     /**
-     * A run ended with an answer, whatever it says; the record keeps it.
+     * Records the answer of a run, whether or not it succeeded.
      *
      * @param entry the record
      * @param answer the answer
@@ -124,10 +135,11 @@
     }
 
     /**
-     * The request was surely not run; the record goes, so that a later ask may run it.
+     * Removes the record of a request that was certainly not run, so that a later registration may run
+     * it.
      *
      * @param entry the record
-     * @param answer the refusal, for those who joined the ask
+     * @param answer the error answer for callers that joined the registration
      */
     public synchronized void recordNotRun(KeyEntry entry, Answer answer)
     {
@@ -139,45 +151,44 @@
         entry.answer().complete(answer);
     }
 
-    /** @return the numbers of the slots held here */
+    /** @return the numbers of the owned slots */
     public synchronized Set<Integer> owned()
     {
         return Set.copyOf(slots.keySet());
     }
 
     /**
-     * @param slot a slot held here
-     * @return whether it is held and may take new keys
+     * @param number a slot number
+     * @return whether the slot is owned and accepts new keys
      */
-    public synchronized boolean isReady(int slot)
+    public synchronized boolean isReady(int number)
     {
-        KeySlot held = slots.get(slot);
-        return held != null && !held.moving();
+        KeySlot slot = slots.get(number);
+        return slot != null && !slot.isMoving();
     }
 
     /**
-     * @param slot a slot that is now this box's, with what is known of it
+     * @param number the number of a slot that this box now owns
+     * @param slot the slot with its known records
      */
-    synchronized void take(int number, KeySlot slot)
+    synchronized void addSlot(int number, KeySlot slot)
     {
         slots.put(number, slot);
         records += slot.entries().size();
     }
 
-    /**
-     * @param number a slot that is no longer this box's
-     */
-    synchronized void drop(int number)
+    /** @param number the number of a slot that this box no longer owns */
+    synchronized void removeSlot(int number)
     {
         KeySlot slot = slots.remove(number);
         records -= slot == null ? 0 : slot.entries().size();
     }
 
     /**
-     * Stops or resumes new keys for slots.
+     * Stops or resumes the registration of new keys in slots.
      *
-     * @param numbers the slots
-     * @param moving whether they are being handed over
+     * @param numbers the slot numbers
+     * @param moving whether the slots are being handed over
      */
     public synchronized void setMoving(Collection<Integer> numbers, boolean moving)
     {
@@ -185,40 +196,40 @@
     }
 
     /**
-     * @param numbers slots held here
-     * @return those of them in which no request runs
+     * @param numbers the numbers of owned slots
+     * @return the slots without running requests
      */
     public synchronized List<Integer> idleSlots(Collection<Integer> numbers)
     {
-        return numbers.stream().filter(n -> slots.containsKey(n) && !slots.get(n).hasRunning()).toList();
+        return numbers.stream().filter(n -> slots.containsKey(n) && !slots.get(n).hasUnfinished()).toList();
     }
 
     /**
-     * @param numbers slots held here
-     * @return all that is known of them
+     * @param numbers the numbers of owned slots
+     * @return the slots with their records as messages
      */
     public synchronized List<SlotEvidence> exportSlots(Collection<Integer> numbers)
     {
-        List<SlotEvidence> evidence = new ArrayList<>();
+        List<SlotEvidence> exported = new ArrayList<>();
         for (int number : numbers)
         {
             KeySlot slot = slots.get(number);
             if (slot != null)
             {
-                evidence.add(slot.toEvidence());
+                exported.add(slot.toMessage());
             }
         }
-        return evidence;
+        return exported;
     }
 
-    /** Forgets ended records that are older than they are kept. */
+    /** Evicts ended records that are older than the retention time. */
     public synchronized void evictExpired()
     {
         long before = wallMillis.getAsLong() - limits.recordMillis();
-        slots.values().forEach(slot -> records -= slot.forgetBefore(before));
+        slots.values().forEach(slot -> records -= slot.evictBefore(before));
     }
 
-    /** @return how many records are kept */
+    /** @return the number of records */
     public synchronized int recordCount()
     {
         return records;
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/ReplicaTable.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/ReplicaTable.java
@@ -15,63 +15,65 @@
 import org.gaugehollow.peer.generated.PeerProtocol.SlotEvidence;
 
 /**
- * Copies of other boxes' key records: of the box that this one succeeds, kept up to date by it, and
- * of slots that a box is handing over. A copy counts as complete only while this box surely was the
- * one that the owner copied to. Thread-safe.
+ * Holds replicas of other boxes' key records: those of the box that this one succeeds, and of slots
+ * that are being handed over. A replica counts as complete only while this box was certainly the
+ * successor of its owner. Thread-safe.
  */
 public final class ReplicaTable
 {
-    /** A slot that its owner handed over, and the map's epoch that the change of owner starts from. */
+    /**
+     * A slot handed over by its owner, and the epoch of the map that the change of owner is based on.
+     */
     private record HandOver(long epoch, KeySlot slot)
     {
     }
 
     private final String self;
-    private final Map<String, Map<Integer, KeySlot>> byOwner = new HashMap<>();
-    private final Map<Integer, HandOver> handedOver = new HashMap<>();
+    private final Map<String, Map<Integer, KeySlot>> slotsByOwner = new HashMap<>();
+    private final Map<Integer, HandOver> handOvers = new HashMap<>();
     private AssignmentMap map;
 
-    /**
-     * @param self this box's id
-     */
+    /** @param self the id of this box */
     public ReplicaTable(String self)
     {
         this.self = self;
     }
 
     /**
-     * Takes copies from their owner.
+     * Applies a replication call.
      *
-     * @param call the owner's call
-     * @return whether they are kept; if not, the owner must not rely on them
+     * @param call the call of the owner
+     * @return whether the records were stored; if not, the owner must not rely on this replica
      */
     public synchronized boolean applyCopy(CopyCall call)
     {
         if (call.getHandOver())
         {
-            for (SlotEvidence evidence : call.getFullList())
+            for (SlotEvidence message : call.getFullList())
             {
-                handedOver.put(evidence.getSlot(), new HandOver(call.getMapEpoch(), KeySlot.of(evidence)));
+                handOvers.put(message.getSlot(),
+                        new HandOver(call.getMapEpoch(), KeySlot.fromMessage(message)));
             }
             return true;
         }
-        boolean successor = map != null && map.successorOf(call.getOwner()).filter(self::equals).isPresent();
-        if (!successor)
+        boolean isSuccessor = map != null
+                && map.successorOf(call.getOwner()).filter(self::equals).isPresent();
+        if (!isSuccessor)
         {
             return false;
         }
         if (call.getFullCount() > 0)
         {
             Map<Integer, KeySlot> full = new HashMap<>();
-            call.getFullList().forEach(evidence -> full.put(evidence.getSlot(), KeySlot.of(evidence)));
-            byOwner.put(call.getOwner(), full);
+            call.getFullList().forEach(message -> full.put(message.getSlot(), KeySlot.fromMessage(message)));
+            slotsByOwner.put(call.getOwner(), full);
         }
         return applyRecords(call.getOwner(), call.getRecordsList());
     }
 
     private boolean applyRecords(String owner, List<KeyRecord> records)
     {
-        Map<Integer, KeySlot> slots = byOwner.get(owner);
+        Map<Integer, KeySlot> slots = slotsByOwner.get(owner);
         if (slots == null)
         {
             return false;
@@ -89,61 +91,63 @@
     }
 
     /**
-     * Follows the map. Copies of owners that this box no longer succeeds are dropped; all of them if a
-     * map was missed, since in between another box may have kept the copies.
+     * Applies a newer assignment map. Drops replicas of owners that this box no longer succeeds, and
+     * all replicas if a map was missed, since another box may have been the successor in between.
      *
-     * @param next the map now in force
-     * @return the map before it, if it was the one directly before
+     * @param next the new map
+     * @return the previous map if the new one directly follows it, otherwise empty
      */
     public synchronized Optional<AssignmentMap> applyMap(AssignmentMap next)
     {
-        AssignmentMap before = map;
+        AssignmentMap previous = map;
         map = next;
-        boolean direct = before != null && next.epoch() == before.epoch() + 1;
-        if (!direct)
+        boolean consecutive = previous != null && next.epoch() == previous.epoch() + 1;
+        if (!consecutive)
         {
-            byOwner.clear();
+            slotsByOwner.clear();
         }
-        byOwner.keySet().removeIf(owner -> next.boxes().containsKey(owner)
+        slotsByOwner.keySet().removeIf(owner -> next.boxes().containsKey(owner)
                 && next.successorOf(owner).filter(self::equals).isEmpty());
-        return direct ? Optional.of(before) : Optional.empty();
+        return consecutive ? Optional.of(previous) : Optional.empty();
     }
 
     /**
-     * What is known of a slot that the map has just given to this box.
+     * Returns the complete records of a slot that was just assigned to this box. A hand-over is
+     * consumed.
      *
-     * @param number the slot
-     * @param owner the owner before
-     * @param ownerGone whether the owner left the map with this change
-     * @param since the epoch since which this box is the slot's owner
-     * @return the complete evidence, if it is here
+     * @param number the slot number
+     * @param owner the previous owner
+     * @param ownerRemoved whether the same map change removed the previous owner
+     * @param ownedSince the epoch since which this box owns the slot
+     * @return the slot with its records, or empty if they are not known to be complete
      */
-    synchronized Optional<KeySlot> evidenceOf(int number, String owner, boolean ownerGone, long since)
+    synchronized Optional<KeySlot> takeComplete(int number, String owner, boolean ownerRemoved,
+            long ownedSince)
     {
-        HandOver given = handedOver.remove(number);
-        if (given != null && given.epoch + 1 == since)
+        HandOver handOver = handOvers.remove(number);
+        if (handOver != null && handOver.epoch + 1 == ownedSince)
         {
-            return Optional.of(given.slot);
+            return Optional.of(handOver.slot);
         }
-        Map<Integer, KeySlot> copies = byOwner.get(owner);
-        return ownerGone && copies != null ? Optional.ofNullable(copies.get(number)) : Optional.empty();
+        Map<Integer, KeySlot> replicas = slotsByOwner.get(owner);
+        return ownerRemoved && replicas != null
+                ? Optional.ofNullable(replicas.get(number))
+                : Optional.empty();
     }
 
-    /**
-     * @param owner a box that is gone and whose slots were taken
-     */
-    synchronized void forgetOwner(String owner)
+    /** @param owner the id of a removed box whose slots were reassigned */
+    synchronized void removeOwner(String owner)
     {
-        byOwner.remove(owner);
+        slotsByOwner.remove(owner);
     }
 
     /**
-     * Forgets ended records that are older than they are kept.
+     * Evicts ended records registered before the given time.
      *
-     * @param before the time, in milliseconds since 1970
+     * @param before the time in milliseconds since 1970
      */
     public synchronized void evictExpired(long before)
     {
-        byOwner.values().forEach(slots -> slots.values().forEach(slot -> slot.forgetBefore(before)));
+        slotsByOwner.values().forEach(slots -> slots.values().forEach(slot -> slot.evictBefore(before)));
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/AssignmentMaps.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/AssignmentMaps.java
@@ -22,15 +22,16 @@
 import org.gaugehollow.model.ResultCode;
 
 /**
- * The maps of the halls as this box knows them: part of the configuration, so they never revert.
+ * Holds the assignment maps of all data halls as last received with the configuration. A map is
+ * never replaced by an older one.
  */
 public final class AssignmentMaps
 {
     /**
-     * A map with the store's revision of it.
+     * An assignment map and its store revision.
      *
      * @param map the map
-     * @param revision the revision to change it from
+     * @param revision the store revision, used for compare-and-swap
      */
     public record Versioned(AssignmentMap map, long revision)
     {
@@ -38,73 +39,75 @@
 
     private final String hall;
     private final EventLog events;
-    private final Map<String, Versioned> maps = new ConcurrentHashMap<>();
+    private final Map<String, Versioned> mapsByHall = new ConcurrentHashMap<>();
     private final List<Consumer<AssignmentMap>> listeners = new CopyOnWriteArrayList<>();
 
     /**
-     * @param hall this box's hall
-     * @param keeper the configuration
-     * @param events where adopted maps are recorded
+     * @param hall the data hall of this box
+     * @param config the cache that delivers the maps
+     * @param events the event log for adopted maps
      */
-    public AssignmentMaps(String hall, ConfigCache keeper, EventLog events)
+    public AssignmentMaps(String hall, ConfigCache config, EventLog events)
     {
         this.hall = hall;
         this.events = events;
-        keeper.addListener(this::adopt);
+        config.addListener(this::onConfigApplied);
     }
 
     /**
-     * @param listener is told when the map of this box's hall changed; it must return at once
+     * Adds a listener that is called whenever the map of this box's data hall changes.
+     *
+     * @param listener the listener; must not block
      */
     public void addListener(Consumer<AssignmentMap> listener)
     {
         listeners.add(listener);
     }
 
-    /** @return the map of this box's hall, if one is known */
+    /** @return the map of this box's data hall, or empty if none is known */
     public Optional<AssignmentMap> map()
     {
         return versioned().map(Versioned::map);
     }
 
-    /** @return the map of this box's hall with its revision, if one is known */
+    /** @return the map of this box's data hall with its revision, or empty if none is known */
     public Optional<Versioned> versioned()
     {
-        return Optional.ofNullable(maps.get(hall));
+        return Optional.ofNullable(mapsByHall.get(hall));
     }
 
     /**
-     * @param other a hall
-     * @return its map, if one is known
+     * @param otherHall the name of a data hall
+     * @return the map of that data hall, or empty if none is known
      */
-    public Optional<AssignmentMap> mapOf(String other)
+    public Optional<AssignmentMap> mapOf(String otherHall)
     {
-        return Optional.ofNullable(maps.get(other)).map(Versioned::map);
+        return Optional.ofNullable(mapsByHall.get(otherHall)).map(Versioned::map);
     }
 
-    /** @return the epoch of this hall's map, 0 where none is known */
+    /** @return the epoch of this data hall's map, or 0 if none is known */
     public long epoch()
     {
         return map().map(AssignmentMap::epoch).orElse(0L);
     }
 
-    private void adopt(List<ConfigEntry> applied)
+    private void onConfigApplied(List<ConfigEntry> applied)
     {
         for (ConfigEntry entry : applied)
         {
             if (StoreKeys.isHallMap(entry.name()))
             {
-                adoptMap(entry);
+                applyEntry(entry);
             }
         }
     }
 
-    private void adoptMap(ConfigEntry entry)
+    private void applyEntry(ConfigEntry entry)
     {
-        String name = entry.name().substring(StoreKeys.hallMap("").length());
+        String hallName = entry.name().substring(StoreKeys.hallMap("").length());
         if (entry.deleted())
         {
-            maps.remove(name);
+            mapsByHall.remove(hallName);
         }
         else
         {
@@ -112,7 +115,7 @@
             {
                 AssignmentMap map = Json.read(entry.envelope(), AssignmentMap.class,
                         ResultCode.STORE_BAD_ANSWER);
-                maps.put(name, new Versioned(map, entry.revision()));
+                mapsByHall.put(hallName, new Versioned(map, entry.revision()));
             }
             catch (GaugehollowException e)
             {
@@ -120,9 +123,9 @@
                 return;
             }
         }
-        if (name.equals(hall))
+        if (hallName.equals(hall))
         {
-            events.record(EventType.MAP_ADOPTED, name, "epoch " + epoch());
+            events.record(EventType.MAP_ADOPTED, hallName, "epoch " + epoch());
             map().ifPresent(map -> listeners.forEach(listener -> listener.accept(map)));
         }
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/BoxIdentity.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/BoxIdentity.java
@@ -7,17 +7,17 @@
 import org.gaugehollow.model.AssignmentMap;
 
 /**
- * Who this process is.
+ * Identifies this box process.
  *
- * @param name the box's name from its settings
- * @param id the name and a suffix of this run, so that a restarted box is never taken for the old
- *            one
- * @param hall its data hall
- * @param peerAddress where peers reach it
+ * @param name the configured box name
+ * @param id the name with a suffix that is unique to this process, which tells a restarted box from
+ *            its predecessor
+ * @param hall the data hall
+ * @param peerAddress the address at which peers reach this box
  */
 public record BoxIdentity(String name, String id, String hall, String peerAddress)
 {
-    /** @return this box as an entry of its hall's map */
+    /** @return the entry of this box in the assignment map */
     public AssignmentMap.Member toMember()
     {
         return new AssignmentMap.Member(id, peerAddress);
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/MapPlanner.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/MapPlanner.java
@@ -18,7 +18,10 @@
 
 import org.gaugehollow.model.AssignmentMap;
 
-/** Works out the next map of a hall. Pure: the same input gives the same map on every box. */
+/**
+ * Computes the next assignment map of a data hall. Deterministic: the same input gives the same map
+ * on every box.
+ */
 public final class MapPlanner
 {
     private MapPlanner()
@@ -26,16 +29,16 @@
     }
 
     /**
-     * The map after boxes and workers came and went. What a removed box owned goes to others; what a
-     * remaining box owns stays with it.
+     * Computes the map after boxes or workers were added or removed. Assignments of remaining boxes are
+     * kept; those of removed boxes are reassigned.
      *
-     * @param map the map in force
-     * @param removed boxes whose rights have surely ended
-     * @param joining boxes to add
-     * @param workers the workers that the hall should have
-     * @return the next map, or the same object where nothing changes
+     * @param map the current map
+     * @param removed the boxes whose rights have certainly expired
+     * @param joining the boxes to add
+     * @param workers the workers that the map should contain
+     * @return the next map, or the same instance if nothing changes
      */
-    public static AssignmentMap afterMembership(AssignmentMap map, Set<String> removed,
+    public static AssignmentMap afterMembershipChange(AssignmentMap map, Set<String> removed,
             Collection<AssignmentMap.Member> joining, Set<String> workers)
     {
         Map<String, AssignmentMap.Member> boxes = new LinkedHashMap<>(map.boxes());
@@ -46,37 +49,39 @@
             return map;
         }
         long epoch = map.epoch() + 1;
-        List<AssignmentMap.Assignment> slots = slotsAfter(map, boxes.keySet(), epoch);
-        Map<String, AssignmentMap.Assignment> assigned = workersAfter(map, boxes.keySet(), workers, epoch);
-        boolean same = boxes.equals(map.boxes()) && slots.equals(map.slotOwners())
-                && assigned.equals(map.workers());
-        return same ? map : new AssignmentMap(epoch, boxes, assigned, slots);
+        List<AssignmentMap.Assignment> slots = reassignSlots(map, boxes.keySet(), epoch);
+        Map<String, AssignmentMap.Assignment> assignments = reassignWorkers(map, boxes.keySet(), workers,
+                epoch);
+        boolean unchanged = boxes.equals(map.boxes()) && slots.equals(map.slotOwners())
+                && assignments.equals(map.workers());
+        return unchanged ? map : new AssignmentMap(epoch, boxes, assignments, slots);
     }
 
     /**
-     * The map after one box gave workers and key slots away.
+     * Computes the map after workers and key slots were transferred to other boxes.
      *
-     * @param map the map in force
-     * @param workersTo the new owner of each worker given
-     * @param slotsTo the new owner of each slot given
+     * @param map the current map
+     * @param newWorkerOwners the new owner by transferred worker
+     * @param newSlotOwners the new owner by transferred slot
      * @return the next map
      */
-    public static AssignmentMap afterTransfer(AssignmentMap map, Map<String, String> workersTo,
-            Map<Integer, String> slotsTo)
+    public static AssignmentMap afterTransfer(AssignmentMap map, Map<String, String> newWorkerOwners,
+            Map<Integer, String> newSlotOwners)
     {
         long epoch = map.epoch() + 1;
         Map<String, AssignmentMap.Assignment> workers = new TreeMap<>(map.workers());
-        workersTo.forEach((worker, box) -> workers.put(worker, new AssignmentMap.Assignment(box, epoch)));
+        newWorkerOwners
+                .forEach((worker, box) -> workers.put(worker, new AssignmentMap.Assignment(box, epoch)));
         List<AssignmentMap.Assignment> slots = new ArrayList<>(map.slotOwners());
-        slotsTo.forEach((slot, box) -> slots.set(slot, new AssignmentMap.Assignment(box, epoch)));
+        newSlotOwners.forEach((slot, box) -> slots.set(slot, new AssignmentMap.Assignment(box, epoch)));
         return new AssignmentMap(epoch, map.boxes(), workers, slots);
     }
 
     /**
-     * The map without a box that gave everything away.
+     * Computes the map without a box that has transferred all its assignments.
      *
-     * @param map the map in force
-     * @param box the box that leaves
+     * @param map the current map
+     * @param box the box to remove
      * @return the next map
      */
     public static AssignmentMap afterLeaving(AssignmentMap map, String box)
@@ -87,96 +92,96 @@
     }
 
     /**
-     * What a box should give to others so that all have about the same.
+     * Plans which items a box transfers to other boxes so that all own about the same number.
      *
-     * @param <T> workers or slots
-     * @param owned how much each box owns now, this one included
-     * @param giver the box that gives
-     * @param all whether it gives everything, because it leaves
-     * @param own what it owns, in the order in which it gives
-     * @return the receiver of each
+     * @param <T> the type of the items, workers or slots
+     * @param ownedCounts the number of items that each box owns, including the source
+     * @param source the box to transfer from
+     * @param transferAll whether all items are transferred because the source leaves
+     * @param items the items of the source, in order of transfer
+     * @return the target box by transferred item
      */
-    public static <T> Map<T, String> surplus(Map<String, Integer> owned, String giver, boolean all,
-            List<T> own)
+    public static <T> Map<T, String> surplus(Map<String, Integer> ownedCounts, String source,
+            boolean transferAll, List<T> items)
     {
-        Map<String, Integer> counts = new HashMap<>(owned);
-        Map<T, String> gifts = new LinkedHashMap<>();
-        BinaryOperator<String> poorer = BinaryOperator
+        Map<String, Integer> counts = new HashMap<>(ownedCounts);
+        Map<T, String> targets = new LinkedHashMap<>();
+        BinaryOperator<String> byCount = BinaryOperator
                 .minBy(Comparator.<String>comparingInt(counts::get).thenComparing(Comparator.naturalOrder()));
-        for (T each : own)
+        for (T item : items)
         {
-            String poorest = counts.keySet().stream().filter(b -> !b.equals(giver)).reduce(poorer)
+            String leastLoaded = counts.keySet().stream().filter(b -> !b.equals(source)).reduce(byCount)
                     .orElse(null);
-            if (poorest == null || (!all && counts.get(giver) - counts.get(poorest) < 2))
+            if (leastLoaded == null || (!transferAll && counts.get(source) - counts.get(leastLoaded) < 2))
             {
                 break;
             }
-            gifts.put(each, poorest);
-            counts.merge(giver, -1, Integer::sum);
-            counts.merge(poorest, 1, Integer::sum);
+            targets.put(item, leastLoaded);
+            counts.merge(source, -1, Integer::sum);
+            counts.merge(leastLoaded, 1, Integer::sum);
         }
-        return gifts;
+        return targets;
     }
 
     /**
-     * A removed box's slots go to the first remaining box after it, which keeps the copies of its
-     * records.
+     * Reassigns the slots of each removed box to its next remaining successor, which holds the replicas
+     * of its records.
      */
-    private static List<AssignmentMap.Assignment> slotsAfter(AssignmentMap map, Set<String> remaining,
+    private static List<AssignmentMap.Assignment> reassignSlots(AssignmentMap map, Set<String> remaining,
             long epoch)
     {
-        List<String> ring = new ArrayList<>(map.boxes().keySet());
+        List<String> order = new ArrayList<>(map.boxes().keySet());
         List<AssignmentMap.Assignment> slots = new ArrayList<>(map.slotOwners());
         for (int i = 0; i < slots.size(); i++)
         {
             String owner = slots.get(i).box();
             if (!remaining.contains(owner))
             {
-                slots.set(i, new AssignmentMap.Assignment(heirOf(ring, owner, remaining), epoch));
+                slots.set(i, new AssignmentMap.Assignment(successorOf(order, owner, remaining), epoch));
             }
         }
         return slots;
     }
 
-    private static String heirOf(List<String> ring, String gone, Set<String> remaining)
+    private static String successorOf(List<String> order, String removed, Set<String> remaining)
     {
-        int at = Math.max(0, ring.indexOf(gone));
-        for (int i = 1; i <= ring.size(); i++)
+        int index = Math.max(0, order.indexOf(removed));
+        for (int i = 1; i <= order.size(); i++)
         {
-            String next = ring.get((at + i) % ring.size());
-            if (remaining.contains(next))
+            String candidate = order.get((index + i) % order.size());
+            if (remaining.contains(candidate))
             {
-                return next;
+                return candidate;
             }
         }
         return remaining.iterator().next();
     }
 
-    private static Map<String, AssignmentMap.Assignment> workersAfter(AssignmentMap map, Set<String> boxes,
+    private static Map<String, AssignmentMap.Assignment> reassignWorkers(AssignmentMap map, Set<String> boxes,
             Set<String> workers, long epoch)
     {
         Map<String, Integer> counts = new TreeMap<>();
         boxes.forEach(box -> counts.put(box, 0));
-        Map<String, AssignmentMap.Assignment> kept = new TreeMap<>();
+        Map<String, AssignmentMap.Assignment> assignments = new TreeMap<>();
         for (String worker : new TreeSet<>(workers))
         {
-            AssignmentMap.Assignment held = map.workers().get(worker);
-            if (held != null && boxes.contains(held.box()))
+            AssignmentMap.Assignment current = map.workers().get(worker);
+            if (current != null && boxes.contains(current.box()))
             {
-                kept.put(worker, held);
-                counts.merge(held.box(), 1, Integer::sum);
+                assignments.put(worker, current);
+                counts.merge(current.box(), 1, Integer::sum);
             }
         }
         for (String worker : new TreeSet<>(workers))
         {
-            if (!kept.containsKey(worker))
+            if (!assignments.containsKey(worker))
             {
-                String poorest = counts.entrySet().stream().min(Map.Entry.comparingByValue()).orElseThrow()
-                        .getKey();
-                kept.put(worker, new AssignmentMap.Assignment(poorest, epoch));
-                counts.merge(poorest, 1, Integer::sum);
+                String leastLoaded = counts.entrySet().stream().min(Map.Entry.comparingByValue())
+                        .orElseThrow().getKey();
+                assignments.put(worker, new AssignmentMap.Assignment(leastLoaded, epoch));
+                counts.merge(leastLoaded, 1, Integer::sum);
             }
         }
-        return kept;
+        return assignments;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/MapReconciler.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/MapReconciler.java
@@ -27,47 +27,48 @@
 import org.gaugehollow.time.SteadyClock;
 
 /**
- * Keeps the hall's map true to who is there. Only the relays of a hall do it, the first two boxes
- * of the map that can reach each other, so the store sees the same few calls however many boxes
- * there are.
+ * Brings the assignment map of the data hall in line with the registered boxes and listed workers.
+ * Only the relays, the first two boxes of the map that are reachable, do this, so that the load on
+ * the store does not grow with the number of boxes.
  */
 public final class MapReconciler implements SupervisedTask
 {
-    private static final int RELAYS = 2;
+    private static final int MAX_RELAYS = 2;
     private static final long PERIOD_MILLIS = 500;
-    private static final long WORKER_GONE_NANOS = TimeUnit.SECONDS.toNanos(30);
+    private static final long MISSING_WORKER_RETENTION_NANOS = TimeUnit.SECONDS.toNanos(30);
 
     private final BoxIdentity self;
     private final PlatformStore store;
     private final MapStore mapStore;
-    private final AssignmentMaps halls;
+    private final AssignmentMaps maps;
     private final PeerMonitor peers;
     private final RosterCache roster;
-    private final StoreLiveness evidence;
+    private final StoreLiveness storeLiveness;
     private final TakeoverGuard guard;
     private final EventLog events;
     private final Map<String, Long> workerMissingSince = new HashMap<>();
 
     /**
-     * @param parts what the monitor of peers works with, shared here
-     * @param store the platform's service
-     * @param mapStore changes the map
-     * @param peers the monitor of peers
-     * @param witnessMillis how long a peer's word is good for
-     * @param abandonSeconds after how long a take-over goes ahead without its quorum, 0 for never
+     * @param parts the collaborators shared with the peer monitor
+     * @param store the store
+     * @param mapStore the store access for the map
+     * @param peers the peer monitor
+     * @param confirmationMillis the time in milliseconds for which a peer confirmation is valid
+     * @param abandonSeconds the time in seconds after which a takeover proceeds without a quorum, or 0
+     *            for never
      */
     public MapReconciler(PeerMonitor.Parts parts, PlatformStore store, MapStore mapStore, PeerMonitor peers,
-            long witnessMillis, long abandonSeconds)
+            long confirmationMillis, long abandonSeconds)
     {
         this.self = parts.self();
-        this.halls = parts.halls();
+        this.maps = parts.maps();
         this.roster = parts.roster();
         this.events = parts.events();
-        this.evidence = parts.evidence();
+        this.storeLiveness = parts.storeLiveness();
         this.store = store;
         this.mapStore = mapStore;
         this.peers = peers;
-        this.guard = new TakeoverGuard(self, peers, witnessMillis, abandonSeconds, events);
+        this.guard = new TakeoverGuard(self, peers, confirmationMillis, abandonSeconds, events);
     }
 
     @Override
@@ -77,49 +78,49 @@
         {
             if (isRelay())
             {
-                keepOnce();
+                reconcileOnce();
             }
             else
             {
-                guard.forget();
+                guard.reset();
             }
             Thread.sleep(PERIOD_MILLIS);
         }
     }
 
     /**
-     * @return whether this box follows the store for its hall: it is one of the first boxes of the map
-     *         that can be reached, or it is in no map yet
+     * @return whether this box is one of the first reachable boxes of the map, or in no map yet, and so
+     *         reads the store for its data hall
      */
     public boolean isRelay()
     {
-        Optional<AssignmentMap> map = halls.map();
+        Optional<AssignmentMap> map = maps.map();
         if (map.isEmpty() || !map.get().boxes().containsKey(self.id()))
         {
             return true;
         }
-        List<String> first = map.get().boxes().keySet().stream().filter(peers::isReachable).limit(RELAYS)
+        List<String> relays = map.get().boxes().keySet().stream().filter(peers::isReachable).limit(MAX_RELAYS)
                 .toList();
-        return first.contains(self.id());
+        return relays.contains(self.id());
     }
 
-    private void keepOnce() throws InterruptedException
+    private void reconcileOnce() throws InterruptedException
     {
         try
         {
-            Optional<AssignmentMaps.Versioned> known = halls.versioned();
-            if (known.isEmpty())
+            Optional<AssignmentMaps.Versioned> current = maps.versioned();
+            if (current.isEmpty())
             {
                 createMap();
             }
             else
             {
-                reconcile(known.get());
+                reconcile(current.get());
             }
         }
         catch (GaugehollowException e)
         {
-            guard.forget();
+            guard.reset();
         }
     }
 
@@ -131,13 +132,13 @@
         }
     }
 
-    private void reconcile(AssignmentMaps.Versioned known) throws InterruptedException
+    private void reconcile(AssignmentMaps.Versioned current) throws InterruptedException
     {
-        Map<String, MemberRecord> registered = registered();
-        evidence.recordContact();
+        Map<String, MemberRecord> registered = readRegisteredBoxes();
+        storeLiveness.recordContact();
         long listedAt = SteadyClock.nanos();
-        AssignmentMap map = known.map();
-        Set<String> lapsed = guard.lapsed(map, registered.keySet(), listedAt);
+        AssignmentMap map = current.map();
+        Set<String> expired = guard.findExpired(map, registered.keySet(), listedAt);
         List<AssignmentMap.Member> joining = new ArrayList<>();
         for (MemberRecord member : registered.values())
         {
@@ -146,14 +147,14 @@
                 joining.add(new AssignmentMap.Member(member.box(), member.peerAddress()));
             }
         }
-        AssignmentMap next = MapPlanner.afterMembership(map, lapsed, joining, workersWanted(map));
-        if (next != map && mapStore.change(known.revision(), next, lapsed))
+        AssignmentMap next = MapPlanner.afterMembershipChange(map, expired, joining, wantedWorkers(map));
+        if (next != map && mapStore.change(current.revision(), next, expired))
         {
-            lapsed.forEach(box -> events.record(EventType.BOX_REMOVED, box, "epoch " + next.epoch()));
+            expired.forEach(box -> events.record(EventType.BOX_REMOVED, box, "epoch " + next.epoch()));
         }
     }
 
-    private Map<String, MemberRecord> registered() throws InterruptedException
+    private Map<String, MemberRecord> readRegisteredBoxes() throws InterruptedException
     {
         StoreListing listing = store.list(StoreKeys.members(self.hall()));
         Map<String, MemberRecord> members = new HashMap<>();
@@ -166,10 +167,10 @@
     }
 
     /**
-     * The workers of the list, and for a while those that it no longer names, since it lags and may
-     * flicker.
+     * Returns the listed workers and, for a limited time, those that are no longer listed, since the
+     * list may lag or omit workers briefly.
      */
-    private Set<String> workersWanted(AssignmentMap map)
+    private Set<String> wantedWorkers(AssignmentMap map)
     {
         long now = SteadyClock.nanos();
         Set<String> listed = roster.workers().keySet();
@@ -179,8 +180,8 @@
         {
             if (!listed.contains(worker))
             {
-                long since = workerMissingSince.computeIfAbsent(worker, w -> now);
-                if (now - since < WORKER_GONE_NANOS)
+                long missingSince = workerMissingSince.computeIfAbsent(worker, w -> now);
+                if (now - missingSince < MISSING_WORKER_RETENTION_NANOS)
                 {
                     wanted.add(worker);
                 }
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/MapStore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/MapStore.java
@@ -21,10 +21,7 @@
 import org.gaugehollow.platform.StoreTransaction;
 import org.gaugehollow.platform.StoredValue;
 
-/**
- * Changes a hall's map in the store by compare-and-swap, and settles a change whose answer was
- * lost.
- */
+/** Changes the assignment map of a data hall in the store by compare-and-swap. */
 public final class MapStore
 {
     private final String hall;
@@ -33,10 +30,10 @@
     private final EventLog events;
 
     /**
-     * @param hall the hall
-     * @param store the platform's service
-     * @param config takes the changed map at once
-     * @param events where changes are recorded
+     * @param hall the data hall
+     * @param store the store
+     * @param config the cache that receives the changed map
+     * @param events the event log for changes
      */
     public MapStore(String hall, PlatformStore store, ConfigCache config, EventLog events)
     {
@@ -47,23 +44,24 @@
     }
 
     /**
-     * Changes the map.
+     * Replaces the map if it is unchanged in the store and none of the given boxes is registered.
+     * Otherwise reads the current map from the store.
      *
-     * @param from the map's revision that the change started from, 0 to create it
-     * @param next the next map
-     * @param absent boxes that must not be registered for the change to be made
-     * @return whether the change was made; if not, the map in force here is now the store's
+     * @param expectedRevision the revision of the map to replace, or 0 to create the map
+     * @param next the new map
+     * @param absentBoxes the boxes that must not be registered
+     * @return whether the map was replaced
      * @throws InterruptedException if the process stops
-     * @throws GaugehollowException if the store did not say, and the change may still take effect
+     * @throws GaugehollowException if the outcome is unknown; the change may still take effect
      */
-    public boolean change(long from, AssignmentMap next, Collection<String> absent)
+    public boolean change(long expectedRevision, AssignmentMap next, Collection<String> absentBoxes)
             throws InterruptedException
     {
         String key = StoreKeys.CONFIG + StoreKeys.hallMap(hall);
         byte[] bytes = Json.write(next);
-        StoreTransaction change = new StoreTransaction().require(key, from).put(key, bytes);
-        absent.forEach(box -> change.require(StoreKeys.member(hall, box), 0));
-        Optional<Long> revision = store.commit(change);
+        StoreTransaction transaction = new StoreTransaction().require(key, expectedRevision).put(key, bytes);
+        absentBoxes.forEach(box -> transaction.require(StoreKeys.member(hall, box), 0));
+        Optional<Long> revision = store.commit(transaction);
         if (revision.isEmpty())
         {
             refresh();
@@ -76,20 +74,20 @@
     }
 
     /**
-     * Reads the map from the store and puts it in force here.
+     * Reads the map from the store and applies it to the local configuration.
      *
-     * @return the map that the store holds, if there is one
+     * @return the stored map, or empty if there is none
      * @throws InterruptedException if the process stops
      */
     public Optional<AssignmentMap> refresh() throws InterruptedException
     {
         String name = StoreKeys.hallMap(hall);
-        Optional<StoredValue> held = store.get(StoreKeys.CONFIG + name);
-        held.ifPresent(v -> config.applyOwn(new ConfigEntry(name, v.modRevision(), v.value(), false)));
-        return held.map(v -> Json.read(v.value(), AssignmentMap.class, ResultCode.STORE_BAD_ANSWER));
+        Optional<StoredValue> stored = store.get(StoreKeys.CONFIG + name);
+        stored.ifPresent(v -> config.applyOwn(new ConfigEntry(name, v.modRevision(), v.value(), false)));
+        return stored.map(v -> Json.read(v.value(), AssignmentMap.class, ResultCode.STORE_BAD_ANSWER));
     }
 
-    /** @return what a change needs when no box has to be absent */
+    /** @return the argument for a change that requires no box to be absent */
     public static List<String> noBoxes()
     {
         return List.of();
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/MemberRecord.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/MemberRecord.java
@@ -5,11 +5,11 @@
 package org.gaugehollow.membership;
 
 /**
- * What a box keeps in the store under its lease.
+ * The registration of a box in the store, bound to its lease.
  *
- * @param box its id
- * @param peerAddress where peers reach it
- * @param leaving whether it is in a planned stop
+ * @param box the box id
+ * @param peerAddress the address at which peers reach the box
+ * @param leaving whether the box is in a planned shutdown
  */
 public record MemberRecord(String box, String peerAddress, boolean leaving)
 {
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/PeerMonitor.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/PeerMonitor.java
@@ -31,72 +31,73 @@
 import org.gaugehollow.time.SteadyClock;
 
 /**
- * Pings every other box of the hall's map, one task a peer. From the answers come the peers that
- * can be reached, the vouchers that extend this box's rights in an outage of the store, and newer
+ * Pings all other boxes of the assignment map, with one task for each peer. The replies tell which
+ * peers are reachable, confirm the rights of this box during a store outage and announce newer
  * configuration.
  */
 public final class PeerMonitor
 {
-    private static final int STATE_CALL_MILLIS = 2_000;
+    private static final int STATE_CALL_TIMEOUT_MILLIS = 2_000;
 
     private final BoxIdentity self;
-    private final AssignmentMaps halls;
+    private final AssignmentMaps maps;
     private final PeerDirectory directory;
     private final ConfigCache config;
     private final RosterCache roster;
     private final Rights rights;
-    private final StoreLiveness evidence;
+    private final StoreLiveness storeLiveness;
     private final Supplier<BoxStatus> ownStatus;
-    private final Runnable renewNow;
+    private final Runnable renewLease;
     private final Supervisor supervisor;
     private final EventLog events;
     private final long pingMillis;
-    private final long replyMillis;
+    private final long replyTimeoutMillis;
     private final Map<String, PeerView> views = new ConcurrentHashMap<>();
 
-    /** What the monitor works with. */
-    public record Parts(BoxIdentity self, AssignmentMaps halls, PeerDirectory directory, ConfigCache config,
-            RosterCache roster, Rights rights, StoreLiveness evidence, Supervisor supervisor, EventLog events)
+    /** The collaborators of the monitor. */
+    public record Parts(BoxIdentity self, AssignmentMaps maps, PeerDirectory directory, ConfigCache config,
+            RosterCache roster, Rights rights, StoreLiveness storeLiveness, Supervisor supervisor,
+            EventLog events)
     {
     }
 
     /**
-     * @param parts what the monitor works with
-     * @param ownStatus what this box says of itself
-     * @param renewNow called when a peer's word shows that the store answers again
-     * @param pingMillis the period of pings
-     * @param witnessMillis how long a peer's word is good for
+     * @param parts the collaborators
+     * @param ownStatus supplies the status of this box
+     * @param renewLease called when a peer reports that the store answers again
+     * @param pingMillis the interval between pings in milliseconds
+     * @param confirmationMillis the time in milliseconds for which a peer confirmation is valid
      */
-    public PeerMonitor(Parts parts, Supplier<BoxStatus> ownStatus, Runnable renewNow, long pingMillis,
-            long witnessMillis)
+    public PeerMonitor(Parts parts, Supplier<BoxStatus> ownStatus, Runnable renewLease, long pingMillis,
+            long confirmationMillis)
     {
         this.self = parts.self;
-        this.halls = parts.halls;
+        this.maps = parts.maps;
         this.directory = parts.directory;
         this.config = parts.config;
         this.roster = parts.roster;
         this.rights = parts.rights;
-        this.evidence = parts.evidence;
+        this.storeLiveness = parts.storeLiveness;
         this.supervisor = parts.supervisor;
         this.events = parts.events;
         this.ownStatus = ownStatus;
-        this.renewNow = renewNow;
+        this.renewLease = renewLease;
         this.pingMillis = pingMillis;
-        this.replyMillis = Math.min(witnessMillis, Math.max(pingMillis, witnessMillis / 2));
+        this.replyTimeoutMillis = Math.min(confirmationMillis, Math.max(pingMillis, confirmationMillis / 2));
     }
 
-    /** Starts and stops pings to match the map. Called by one task. */
+    /** Starts and stops ping tasks to match the map. Must not be called concurrently. */
     public void syncWithMap()
     {
-        Map<String, AssignmentMap.Member> boxes = halls.map().map(AssignmentMap::boxes).orElse(Map.of());
+        Map<String, AssignmentMap.Member> boxes = maps.map().map(AssignmentMap::boxes).orElse(Map.of());
         Set<String> wanted = new HashSet<>(boxes.keySet());
         wanted.remove(self.id());
-        for (String running : supervisor.taskNames())
+        for (String taskName : supervisor.taskNames())
         {
-            if (!wanted.contains(running))
+            if (!wanted.contains(taskName))
             {
-                supervisor.stop(running);
-                views.remove(running);
+                supervisor.stop(taskName);
+                views.remove(taskName);
             }
         }
         for (String box : wanted)
@@ -111,8 +112,8 @@
     }
 
     /**
-     * @param box a box of the map
-     * @return what is known of it
+     * @param box the id of a peer
+     * @return the state of the peer, or empty if it is not monitored
      */
     public Optional<PeerView> view(String box)
     {
@@ -120,15 +121,15 @@
     }
 
     /**
-     * @param box a box of the map
-     * @return whether it is this one or answered the last ping
+     * @param box the id of a box
+     * @return whether it is this box or a peer that answered the last ping
      */
     public boolean isReachable(String box)
     {
         return box.equals(self.id()) || view(box).map(PeerView::isReachable).orElse(false);
     }
 
-    /** @return the boxes of the map that answered the last ping, with what they said */
+    /** @return the last reported status of each peer that answered the last ping */
     public Map<String, BoxStatus> reachableStatuses()
     {
         Map<String, BoxStatus> statuses = new ConcurrentHashMap<>();
@@ -143,16 +144,17 @@
     }
 
     /**
-     * Takes newer configuration and a newer list of workers from a peer.
+     * Fetches newer configuration and a newer worker list from a peer.
      *
-     * @param link the peer
+     * @param link the link to the peer
      * @throws InterruptedException if the process stops
      */
     public void pullState(PeerLink link) throws InterruptedException
     {
         StateCall call = StateCall.newBuilder().setConfigRevision(config.revision())
                 .setRosterVersion(roster.version()).build();
-        StateReply reply = link.call(Frame.newBuilder().setState(call), STATE_CALL_MILLIS).getStateReply();
+        StateReply reply = link.call(Frame.newBuilder().setState(call), STATE_CALL_TIMEOUT_MILLIS)
+                .getStateReply();
         ConfigDelta delta = StateMessages.deltaOf(reply);
         config.apply(delta);
         if (!reply.getRoster().isEmpty())
@@ -161,25 +163,28 @@
         }
     }
 
-    /** Counts the vouchers and extends this box's rights by them. */
+    /**
+     * Collects the confirmations of the peers and extends the rights of this box if they form a
+     * majority.
+     */
     public void countConfirmations()
     {
-        Optional<AssignmentMap> map = halls.map();
+        Optional<AssignmentMap> map = maps.map();
         if (map.isEmpty() || map.get().boxes().size() < 2 || !map.get().boxes().containsKey(self.id()))
         {
             return;
         }
-        List<Long> vouchedAt = new ArrayList<>();
-        if (rights.isConfirmedBy(evidence.lastContactNanos()))
+        List<Long> confirmedAt = new ArrayList<>();
+        if (rights.isConfirmedBy(storeLiveness.lastContactNanos()))
         {
-            vouchedAt.add(SteadyClock.nanos());
+            confirmedAt.add(SteadyClock.nanos());
         }
         for (String box : map.get().boxes().keySet())
         {
-            OptionalLong at = view(box).map(PeerView::confirmedPingSentAt).orElse(OptionalLong.empty());
-            at.ifPresent(vouchedAt::add);
+            OptionalLong sentAt = view(box).map(PeerView::confirmedPingSentAt).orElse(OptionalLong.empty());
+            sentAt.ifPresent(confirmedAt::add);
         }
-        rights.extendByQuorum(vouchedAt, map.get().majority());
+        rights.extendByQuorum(confirmedAt, map.get().majority());
     }
 
     private void pingUntilStopped(String box, PeerLink link) throws InterruptedException
@@ -195,14 +200,14 @@
     private void pingOnce(String box, PeerLink link) throws InterruptedException
     {
         PeerView view = views.getOrDefault(box, new PeerView());
-        boolean before = view.isReachable();
+        boolean wasReachable = view.isReachable();
         long sentAt = SteadyClock.nanos();
         try
         {
             Frame reply = link.call(Frame.newBuilder().setPing(Ping.newBuilder().setStatus(ownStatus.get())),
-                    replyMillis);
-            take(box, view, sentAt, reply.getPingReply().getStatus());
-            if (!before)
+                    replyTimeoutMillis);
+            processStatus(box, view, sentAt, reply.getPingReply().getStatus());
+            if (!wasReachable)
             {
                 events.record(EventType.PEER_CONNECTED, box, "");
             }
@@ -210,25 +215,25 @@
         }
         catch (GaugehollowException e)
         {
-            view.failed();
+            view.onFailure();
             link.reset();
-            if (before)
+            if (wasReachable)
             {
                 events.record(EventType.PEER_LOST, box, e.getMessage());
             }
         }
     }
 
-    private void take(String box, PeerView view, long sentAt, BoxStatus status)
+    private void processStatus(String box, PeerView view, long sentAt, BoxStatus status)
     {
-        long age = status.getStoreEvidenceAgeMillis();
-        long answeredAt = evidence.merge(StateMessages.contactOf(status));
-        boolean sameMap = status.getMapEpoch() == halls.epoch() && status.getBox().equals(box);
-        boolean wasVouched = rights.isConfirmedBy(answeredAt);
-        view.replied(sentAt, status, sameMap && (age < 0 || wasVouched));
-        if (!wasVouched && age >= 0)
+        long contactAgeMillis = status.getStoreEvidenceAgeMillis();
+        long contactAt = storeLiveness.merge(StateMessages.contactOf(status));
+        boolean sameMap = status.getMapEpoch() == maps.epoch() && status.getBox().equals(box);
+        boolean confirmsRights = rights.isConfirmedBy(contactAt);
+        view.onReply(sentAt, status, sameMap && (contactAgeMillis < 0 || confirmsRights));
+        if (!confirmsRights && contactAgeMillis >= 0)
         {
-            renewNow.run();
+            renewLease.run();
         }
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/PeerView.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/PeerView.java
@@ -9,36 +9,36 @@
 
 import org.gaugehollow.peer.generated.PeerProtocol.BoxStatus;
 
-/** What this box knows of one peer from its pings. Thread-safe. */
+/** The state of one peer as seen in its ping replies. Thread-safe. */
 public final class PeerView
 {
     private BoxStatus status;
     private boolean reachable;
     private long repliedPingSentAt;
-    private boolean vouches;
-    private long vouchedPingSentAt;
+    private boolean confirmed;
+    private long confirmedPingSentAt;
 
     /**
-     * A ping was answered.
+     * Records a ping reply.
      *
-     * @param sentAt when it was sent
-     * @param newStatus what the peer says
-     * @param vouching whether it vouches for this box's rights
+     * @param sentAt the send time of the ping, on the steady clock
+     * @param newStatus the status that the peer reported
+     * @param confirmsRights whether the reply confirms the rights of this box
      */
-    synchronized void replied(long sentAt, BoxStatus newStatus, boolean vouching)
+    synchronized void onReply(long sentAt, BoxStatus newStatus, boolean confirmsRights)
     {
         status = newStatus;
         reachable = true;
         repliedPingSentAt = sentAt;
-        if (vouching)
+        if (confirmsRights)
         {
-            vouches = true;
-            vouchedPingSentAt = sentAt;
+            confirmed = true;
+            confirmedPingSentAt = sentAt;
         }
     }
 
-    /** A ping was not answered. */
-    synchronized void failed()
+    /** Records a ping that was not answered. */
+    synchronized void onFailure()
     {
         reachable = false;
     }
@@ -49,21 +49,24 @@
         return reachable;
     }
 
-    /** @return what the peer said last, if it ever answered */
+    /** @return the last reported status, or empty if the peer never answered */
     public synchronized Optional<BoxStatus> status()
     {
         return Optional.ofNullable(status);
     }
 
-    /** @return when the newest ping that was answered had been sent */
+    /** @return the send time of the last answered ping, or empty if none was answered */
     public synchronized OptionalLong repliedPingSentAt()
     {
         return status == null ? OptionalLong.empty() : OptionalLong.of(repliedPingSentAt);
     }
 
-    /** @return when the newest ping that was answered with a voucher had been sent */
+    /**
+     * @return the send time of the last ping whose reply confirmed the rights of this box, or empty if
+     *         there is none
+     */
     public synchronized OptionalLong confirmedPingSentAt()
     {
-        return vouches ? OptionalLong.of(vouchedPingSentAt) : OptionalLong.empty();
+        return confirmed ? OptionalLong.of(confirmedPingSentAt) : OptionalLong.empty();
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/Rights.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/Rights.java
@@ -9,51 +9,52 @@
 import java.util.function.LongSupplier;
 
 /**
- * Whether this box may use what the hall's map says is its own. The right comes from a lease that
- * the store renewed, and ends on the box's own clock before the store would let another box take
- * over. While the store answers nobody, the word of a majority of the map's boxes extends it.
- * Thread-safe.
+ * Tells whether this box may use what the assignment map assigns to it. The right is based on a
+ * lease renewed in the store and ends on the local clock before the store lets another box take
+ * over. During a store outage, a majority of the boxes of the map can extend it. Thread-safe.
  */
 public final class Rights
 {
     private final long leaseNanos;
-    private final long witnessNanos;
+    private final long confirmationNanos;
     private final LongSupplier nanoTime;
     private boolean registered;
     private long renewalSentAt;
     private long leaseUntil;
-    private long witnessUntil;
+    private long quorumUntil;
 
     /**
-     * @param leaseMillis how long a renewal is good for, the safety margin taken off
-     * @param witnessMillis how long a peer's word is good for
-     * @param nanoTime a monotonic clock
+     * @param leaseMillis the time in milliseconds for which a renewal is valid, less the safety margin
+     * @param confirmationMillis the time in milliseconds for which a peer confirmation is valid
+     * @param nanoTime a monotonic clock in nanoseconds
      */
-    public Rights(long leaseMillis, long witnessMillis, LongSupplier nanoTime)
+    public Rights(long leaseMillis, long confirmationMillis, LongSupplier nanoTime)
     {
         this.leaseNanos = TimeUnit.MILLISECONDS.toNanos(leaseMillis);
-        this.witnessNanos = TimeUnit.MILLISECONDS.toNanos(witnessMillis);
+        this.confirmationNanos = TimeUnit.MILLISECONDS.toNanos(confirmationMillis);
         this.nanoTime = nanoTime;
         this.leaseUntil = nanoTime.getAsLong();
-        this.witnessUntil = leaseUntil;
+        this.quorumUntil = leaseUntil;
     }
 
-    /** @return whether this box may place and dispatch at this moment */
+    /** @return whether this box may place and dispatch requests */
     public synchronized boolean isValid()
     {
         long now = nanoTime.getAsLong();
-        return leaseUntil - now > 0 || witnessUntil - now > 0;
+        return leaseUntil - now > 0 || quorumUntil - now > 0;
     }
 
-    /** @return whether the right rests on the word of peers alone */
+    /** @return whether the right is based on peer confirmations only */
     public synchronized boolean isFrozen()
     {
         long now = nanoTime.getAsLong();
-        return leaseUntil - now <= 0 && witnessUntil - now > 0;
+        return leaseUntil - now <= 0 && quorumUntil - now > 0;
     }
 
     /**
-     * @param sentAt when the renewal that the store confirmed was sent, on the monotonic clock
+     * Records a renewal of the lease by the store.
+     *
+     * @param sentAt the send time of the renewal call, on the monotonic clock
      */
     public synchronized void renew(long sentAt)
     {
@@ -63,32 +64,32 @@
     }
 
     /**
-     * The process did not run for a while: what it held is put aside until the store or the peers
-     * confirm it anew.
+     * Suspends the right after a pause of the process until the store or the peers confirm it again.
      */
     public synchronized void suspend()
     {
         leaseUntil = nanoTime.getAsLong();
-        witnessUntil = leaseUntil;
+        quorumUntil = leaseUntil;
     }
 
     /**
-     * The store no longer knows the lease, or the clock cannot be trusted: nothing counts until it is
-     * renewed.
+     * Revokes the right after loss of the lease or of a reliable clock. Only a lease renewal restores
+     * it.
      */
     public synchronized void revoke()
     {
         registered = false;
         leaseUntil = nanoTime.getAsLong();
-        witnessUntil = leaseUntil;
+        quorumUntil = leaseUntil;
     }
 
     /**
-     * Whether a word that the store last answered anyone at the given time vouches for this box: nobody
-     * can have seen this box's lease lapse if the store fell silent before it could.
+     * Returns whether a store contact at the given time confirms the right of this box. If the store
+     * last answered before the lease could expire, no box can have seen it expired.
      *
-     * @param storeAnsweredAt the newest answer known, on the monotonic clock, at the latest
-     * @return whether it does
+     * @param storeAnsweredAt the latest possible time of the newest known store contact, on the
+     *            monotonic clock
+     * @return whether the contact confirms the right
      */
     public synchronized boolean isConfirmedBy(long storeAnsweredAt)
     {
@@ -96,24 +97,24 @@
     }
 
     /**
-     * Extends the right by the word of the map's boxes.
+     * Extends the right if a majority of the boxes of the map confirmed it.
      *
-     * @param vouchedAt when each box that vouches was last asked, this box included
-     * @param majority how many are needed
+     * @param confirmedAt the ping send time for each confirming box, including this one
+     * @param majority the number of confirmations required
      */
-    public synchronized void extendByQuorum(List<Long> vouchedAt, int majority)
+    public synchronized void extendByQuorum(List<Long> confirmedAt, int majority)
     {
-        if (!registered || vouchedAt.size() < majority)
+        if (!registered || confirmedAt.size() < majority)
         {
             return;
         }
         long now = nanoTime.getAsLong();
-        List<Long> youngestFirst = vouchedAt.stream().sorted((a, b) -> Long.compare(b - now, a - now))
+        List<Long> newestFirst = confirmedAt.stream().sorted((a, b) -> Long.compare(b - now, a - now))
                 .toList();
-        long until = youngestFirst.get(majority - 1) + witnessNanos;
-        if (until - witnessUntil > 0)
+        long until = newestFirst.get(majority - 1) + confirmationNanos;
+        if (until - quorumUntil > 0)
         {
-            witnessUntil = until;
+            quorumUntil = until;
         }
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/RosterCache.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/RosterCache.java
@@ -20,9 +20,9 @@
 import org.gaugehollow.supervise.SupervisedTask;
 
 /**
- * The platform's list of this hall's workers as last heard: read from the platform by the hall's
- * relays, taken from them by the other boxes. The last list stays in use while the platform is
- * silent.
+ * Caches the platform's list of the workers in this data hall. Relays read it from the platform,
+ * the other boxes receive it from them. The last list stays in use while the platform is
+ * unavailable.
  */
 public final class RosterCache implements SupervisedTask
 {
@@ -33,14 +33,14 @@
     private final EventLog events;
     private Map<String, Worker> workers = Map.of();
     private long version;
-    private boolean readable = true;
+    private boolean sourceReadable = true;
 
     /**
-     * @param hall this box's hall
-     * @param source the platform's list
-     * @param isRelay whether this box is to read it now
-     * @param periodMillis how often
-     * @param events where changes are recorded
+     * @param hall the data hall of this box
+     * @param source the worker list of the platform
+     * @param isRelay whether this box currently reads the list itself
+     * @param periodMillis the interval between reads in milliseconds
+     * @param events the event log for changes
      */
     public RosterCache(String hall, WorkerRoster source, BooleanSupplier isRelay, long periodMillis,
             EventLog events)
@@ -65,67 +65,70 @@
         }
     }
 
-    /** @return the workers of this hall by id */
+    /** @return the workers of this data hall by id */
     public synchronized Map<String, Worker> workers()
     {
         return workers;
     }
 
     /**
-     * @param id a worker's id
-     * @return the worker, if the list names it
+     * @param id the worker id
+     * @return the worker, or empty if it is not listed
      */
     public synchronized Optional<Worker> worker(String id)
     {
         return Optional.ofNullable(workers.get(id));
     }
 
-    /** @return when the list was read, in milliseconds since 1970; 0 before the first */
+    /**
+     * @return the time at which the list was read, in milliseconds since 1970, or 0 if there is none
+     *         yet
+     */
     public synchronized long version()
     {
         return version;
     }
 
-    /** @return the list as it is passed on to peers */
+    /** @return the list as JSON, as sent to peers */
     public synchronized byte[] encoded()
     {
         return Json.write(List.copyOf(workers.values()));
     }
 
     /**
-     * Takes a list from a peer unless this box's is as new.
+     * Replaces the list by one from a peer if that is newer.
      *
-     * @param newVersion its version
-     * @param encoded the list as {@link #encoded} gives it
+     * @param newVersion the version of the received list
+     * @param encoded the list as returned by {@link #encoded}
      */
     public void adopt(long newVersion, byte[] encoded)
     {
-        Worker[] list = Json.read(encoded, Worker[].class, ResultCode.PEER_BAD_CALL);
-        replace(newVersion, List.of(list));
+        Worker[] received = Json.read(encoded, Worker[].class, ResultCode.PEER_BAD_CALL);
+        replace(newVersion, List.of(received));
     }
 
     private void readOnce() throws InterruptedException
     {
         try
         {
-            List<Worker> list = source.read();
-            replace(System.currentTimeMillis(), list.stream().filter(w -> w.hall().equals(hall)).toList());
-            readable = true;
+            List<Worker> listed = source.read();
+            replace(System.currentTimeMillis(), listed.stream().filter(w -> w.hall().equals(hall)).toList());
+            sourceReadable = true;
         }
         catch (GaugehollowException e)
         {
-            if (readable)
+            if (sourceReadable)
             {
                 events.record(EventType.ROSTER_UNREADABLE, hall, e.getMessage());
             }
-            readable = false;
+            sourceReadable = false;
         }
     }
 
-    private void replace(long newVersion, List<Worker> list)
+    private void replace(long newVersion, List<Worker> newWorkers)
     {
         Map<String, Worker> byId = new HashMap<>();
-        list.forEach(worker -> byId.put(worker.id(), worker));
+        newWorkers.forEach(worker -> byId.put(worker.id(), worker));
         synchronized (this)
         {
             if (newVersion <= version || byId.equals(workers))
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/StateMessages.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/StateMessages.java
@@ -15,7 +15,7 @@
 
 import com.google.protobuf.ByteString;
 
-/** Translates between the configuration and the peers' messages. */
+/** Converts configuration and store contacts from and to peer messages. */
 public final class StateMessages
 {
     private StateMessages()
@@ -23,8 +23,8 @@
     }
 
     /**
-     * @param status what a peer says of itself
-     * @return the newest answer of the store that it knows of
+     * @param status the status of a peer
+     * @return the newest store contact known to the peer
      */
     public static StoreLiveness.Contact contactOf(BoxStatus status)
     {
@@ -33,8 +33,8 @@
     }
 
     /**
-     * @param reply a peer's message
-     * @return the delta in it
+     * @param reply the reply of a peer
+     * @return the configuration delta in it
      */
     public static ConfigDelta deltaOf(StateReply reply)
     {
@@ -48,8 +48,8 @@
     }
 
     /**
-     * @param delta a delta
-     * @return the message's beginning
+     * @param delta a configuration delta
+     * @return a reply builder that contains the delta
      */
     public static StateReply.Builder replyOf(ConfigDelta delta)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/StoreLiveness.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/StoreLiveness.java
@@ -12,115 +12,114 @@
 import java.util.function.LongSupplier;
 
 /**
- * The newest time at which the store is known to have answered any box of the hall: this one, or
- * one whose word reached it through peers. Each answer carries the box that got it and a number, so
- * that the same answer heard of again, over a slower way, never looks younger than it is. The time
- * never goes back to before an answer that is known. Thread-safe.
+ * Tracks the latest time at which the store is known to have answered any box of the data hall.
+ * Each contact carries the box that had it and a sequence number, so that a contact received again
+ * through another peer never appears newer than it is. Thread-safe.
  */
 public final class StoreLiveness
 {
-    /** The age that says that no answer is known. */
+    /** The age reported when no contact is known. */
     public static final long NEVER = -1L;
 
-    private static final long KEPT_NANOS = TimeUnit.HOURS.toNanos(1);
+    private static final long RETENTION_NANOS = TimeUnit.HOURS.toNanos(1);
 
     /**
-     * An answer of the store to one box.
+     * A contact of a box with the store.
      *
-     * @param box the box that got it
-     * @param number counts the answers that this box got
-     * @param ageMillis how long ago that was, milliseconds
+     * @param box the id of the box
+     * @param number the sequence number of the contact on this box
+     * @param ageMillis the age of the contact in milliseconds
      */
     public record Contact(String box, long number, long ageMillis)
     {
-        /** No answer is known. */
+        /** No contact is known. */
         public static final Contact NONE = new Contact("", 0, NEVER);
     }
 
-    /** An answer and the latest time at which it can have been given. */
-    private record Answer(long number, long at)
+    /** A contact and its latest possible time on the monotonic clock. */
+    private record DatedContact(long number, long latestNanos)
     {
     }
 
     private final String self;
     private final LongSupplier nanoTime;
-    private final long startedAt;
-    private final Map<String, Answer> answers = new HashMap<>();
+    private final long originNanos;
+    private final Map<String, DatedContact> contactsByBox = new HashMap<>();
 
     /**
-     * @param self this box's id
-     * @param nanoTime a monotonic clock
+     * @param self the id of this box
+     * @param nanoTime a monotonic clock in nanoseconds
      */
     public StoreLiveness(String self, LongSupplier nanoTime)
     {
         this.self = self;
         this.nanoTime = nanoTime;
-        this.startedAt = nanoTime.getAsLong() - TimeUnit.DAYS.toNanos(365);
+        this.originNanos = nanoTime.getAsLong() - TimeUnit.DAYS.toNanos(365);
     }
 
-    /** The store answered this box just now. */
+    /** Records that the store answered this box. */
     public synchronized void recordContact()
     {
-        Answer last = answers.get(self);
-        answers.put(self, new Answer(last == null ? 1 : last.number() + 1, nanoTime.getAsLong()));
+        DatedContact last = contactsByBox.get(self);
+        contactsByBox.put(self, new DatedContact(last == null ? 1 : last.number() + 1, nanoTime.getAsLong()));
     }
 
     /**
-     * A peer tells of an answer to itself or to a box it heard of.
+     * Merges a contact reported by a peer.
      *
-     * @param sighting the answer, its age as of when the peer sent its word
-     * @return when that answer was given, at the latest, on the monotonic clock; the newest known time
-     *         if the peer knows of none
+     * @param contact the contact, with its age at the time of the report
+     * @return the latest possible time of that contact on the monotonic clock, or of the newest known
+     *         contact if the peer knows of none
      */
-    public synchronized long merge(Contact sighting)
+    public synchronized long merge(Contact contact)
     {
-        if (sighting.ageMillis() < 0)
+        if (contact.ageMillis() < 0)
         {
             return lastContactNanos();
         }
-        long at = nanoTime.getAsLong() - TimeUnit.MILLISECONDS.toNanos(sighting.ageMillis());
-        Answer known = answers.get(sighting.box());
-        if (known == null || sighting.number() > known.number())
+        long latestNanos = nanoTime.getAsLong() - TimeUnit.MILLISECONDS.toNanos(contact.ageMillis());
+        DatedContact known = contactsByBox.get(contact.box());
+        if (known == null || contact.number() > known.number())
         {
-            forgetLongPast();
-            answers.put(sighting.box(), new Answer(sighting.number(), at));
-            return at;
+            evictOld();
+            contactsByBox.put(contact.box(), new DatedContact(contact.number(), latestNanos));
+            return latestNanos;
         }
-        if (sighting.number() == known.number() && known.at() - at > 0)
+        if (contact.number() == known.number() && known.latestNanos() - latestNanos > 0)
         {
-            answers.put(sighting.box(), new Answer(sighting.number(), at));
-            return at;
+            contactsByBox.put(contact.box(), new DatedContact(contact.number(), latestNanos));
+            return latestNanos;
         }
-        return known.at();
+        return known.latestNanos();
     }
 
-    /** @return when the store last answered anyone, as far as is known, on the monotonic clock */
+    /** @return the time of the newest known store contact, on the monotonic clock */
     public synchronized long lastContactNanos()
     {
-        return newest().map(entry -> entry.getValue().at()).orElse(startedAt);
+        return newestContact().map(entry -> entry.getValue().latestNanos()).orElse(originNanos);
     }
 
-    /** @return the newest answer that is known, to tell peers of */
+    /** @return the newest known store contact, as sent to peers */
     public synchronized Contact lastContact()
     {
-        return newest().map(entry -> new Contact(entry.getKey(), entry.getValue().number(),
-                ageMillis(entry.getValue().at()))).orElse(Contact.NONE);
+        return newestContact().map(entry -> new Contact(entry.getKey(), entry.getValue().number(),
+                ageMillis(entry.getValue().latestNanos()))).orElse(Contact.NONE);
     }
 
-    private Optional<Map.Entry<String, Answer>> newest()
+    private Optional<Map.Entry<String, DatedContact>> newestContact()
     {
-        return answers.entrySet().stream()
-                .max(Comparator.comparingLong(entry -> entry.getValue().at() - startedAt));
+        return contactsByBox.entrySet().stream()
+                .max(Comparator.comparingLong(entry -> entry.getValue().latestNanos() - originNanos));
     }
 
-    private long ageMillis(long at)
+    private long ageMillis(long nanos)
     {
-        return TimeUnit.NANOSECONDS.toMillis(nanoTime.getAsLong() - at);
+        return TimeUnit.NANOSECONDS.toMillis(nanoTime.getAsLong() - nanos);
     }
 
-    private void forgetLongPast()
+    private void evictOld()
     {
         long now = nanoTime.getAsLong();
-        answers.values().removeIf(answer -> now - answer.at() > KEPT_NANOS);
+        contactsByBox.values().removeIf(contact -> now - contact.latestNanos() > RETENTION_NANOS);
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/StoreSession.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/StoreSession.java
@@ -24,43 +24,43 @@
 import org.gaugehollow.supervise.SupervisedTask;
 import org.gaugehollow.time.SteadyClock;
 
-/** Keeps this box registered in the store under a lease and renews it. */
+/** Keeps this box registered in the store under a lease and renews the lease. */
 public final class StoreSession implements SupervisedTask
 {
     private static final int RENEWALS_PER_LEASE = 4;
     private static final int RETRIES_PER_LEASE = 10;
-    private static final int MILLIS = 1_000;
-    private static final double JITTER = 0.2;
+    private static final int MILLIS_PER_SECOND = 1_000;
+    private static final double JITTER_FRACTION = 0.2;
 
     private final BoxIdentity self;
     private final PlatformStore store;
     private final Rights rights;
-    private final StoreLiveness evidence;
+    private final StoreLiveness storeLiveness;
     private final ConfigCache config;
     private final EventLog events;
     private final int leaseSeconds;
     private final Semaphore wake = new Semaphore(0);
     private final UniformRandomProvider random = RandomSource.XO_SHI_RO_128_PP.create();
-    private long lease;
+    private long leaseId;
     private volatile boolean leaving;
-    private volatile boolean answering;
+    private volatile boolean storeAvailable;
 
     /**
-     * @param self this box
-     * @param store the platform's service
-     * @param rights what a renewal extends
-     * @param evidence told of the store's answers
-     * @param config given the hall's map after each registration
-     * @param events where gains and losses are recorded
-     * @param leaseSeconds how long the store keeps a silent lease
+     * @param self the identity of this box
+     * @param store the store
+     * @param rights the rights that a renewal extends
+     * @param storeLiveness records the contacts with the store
+     * @param config receives the assignment map after each registration
+     * @param events the event log for lease changes and store availability
+     * @param leaseSeconds the time to live of the lease in seconds
      */
-    public StoreSession(BoxIdentity self, PlatformStore store, Rights rights, StoreLiveness evidence,
+    public StoreSession(BoxIdentity self, PlatformStore store, Rights rights, StoreLiveness storeLiveness,
             ConfigCache config, EventLog events, int leaseSeconds)
     {
         this.self = self;
         this.store = store;
         this.rights = rights;
-        this.evidence = evidence;
+        this.storeLiveness = storeLiveness;
         this.config = config;
         this.events = events;
         this.leaseSeconds = leaseSeconds;
@@ -71,16 +71,17 @@
     {
         while (true)
         {
-            int perLease = keepOnce() ? RENEWALS_PER_LEASE : RETRIES_PER_LEASE;
-            double jittered = (double) leaseSeconds * MILLIS / perLease * (1 - JITTER * random.nextDouble());
-            if (wake.tryAcquire((long) jittered, TimeUnit.MILLISECONDS))
+            int attemptsPerLease = registerOrRenew() ? RENEWALS_PER_LEASE : RETRIES_PER_LEASE;
+            double delayMillis = (double) leaseSeconds * MILLIS_PER_SECOND / attemptsPerLease
+                    * (1 - JITTER_FRACTION * random.nextDouble());
+            if (wake.tryAcquire((long) delayMillis, TimeUnit.MILLISECONDS))
             {
                 wake.drainPermits();
             }
         }
     }
 
-    /** Renews at once, because a peer says that the store answers again. */
+    /** Triggers an immediate renewal, since a peer reported that the store answers again. */
     public void renewNow()
     {
         wake.release();
@@ -89,43 +90,43 @@
     /** @return whether the store answered the last call */
     public boolean storeAnswers()
     {
-        return answering;
+        return storeAvailable;
     }
 
     /**
-     * Registers the leaving mark at once.
+     * Marks the registration of this box as leaving.
      *
      * @throws InterruptedException if the process stops
      */
     public synchronized void announceLeaving() throws InterruptedException
     {
         leaving = true;
-        if (lease != 0)
+        if (leaseId != 0)
         {
             putMember();
         }
     }
 
     /**
-     * Gives the lease back at the end of a planned stop.
+     * Revokes the rights and the lease at the end of a planned shutdown.
      *
      * @throws InterruptedException if the process stops
      */
     public synchronized void end() throws InterruptedException
     {
         rights.revoke();
-        if (lease != 0)
+        if (leaseId != 0)
         {
-            store.revokeLease(lease);
-            lease = 0;
+            store.revokeLease(leaseId);
+            leaseId = 0;
         }
     }
 
-    private synchronized boolean keepOnce() throws InterruptedException
+    private synchronized boolean registerOrRenew() throws InterruptedException
     {
         try
         {
-            if (lease == 0)
+            if (leaseId == 0)
             {
                 register();
             }
@@ -133,12 +134,12 @@
             {
                 renew();
             }
-            noteAnswering(true, "");
+            setStoreAvailable(true, "");
             return true;
         }
         catch (GaugehollowException e)
         {
-            noteAnswering(false, e.getMessage());
+            setStoreAvailable(false, e.getMessage());
             return false;
         }
     }
@@ -146,14 +147,14 @@
     private void renew() throws InterruptedException
     {
         long sentAt = SteadyClock.nanos();
-        boolean known = store.renewLease(lease);
-        evidence.recordContact();
-        if (known)
+        boolean renewed = store.renewLease(leaseId);
+        storeLiveness.recordContact();
+        if (renewed)
         {
             rights.renew(sentAt);
             return;
         }
-        lease = 0;
+        leaseId = 0;
         rights.revoke();
         events.record(EventType.LEASE_LOST, self.id(), "");
         register();
@@ -162,8 +163,8 @@
     private void register() throws InterruptedException
     {
         long sentAt = SteadyClock.nanos();
-        lease = store.grantLease(leaseSeconds * MILLIS);
-        evidence.recordContact();
+        leaseId = store.grantLease(leaseSeconds * MILLIS_PER_SECOND);
+        storeLiveness.recordContact();
         try
         {
             putMember();
@@ -171,30 +172,34 @@
         }
         catch (GaugehollowException e)
         {
-            lease = 0;
+            leaseId = 0;
             throw e;
         }
         rights.renew(sentAt);
-        events.record(EventType.LEASE_GRANTED, self.id(), "lease " + lease);
+        events.record(EventType.LEASE_GRANTED, self.id(), "lease " + leaseId);
     }
 
     /**
-     * Conditional on what is there, so that a delayed earlier write cannot tie the key to an older
-     * lease again.
+     * Writes the registration on condition that it is unchanged since the read. This keeps a delayed
+     * earlier write from binding the key to an older lease.
      */
     private void putMember() throws InterruptedException
     {
         String key = StoreKeys.member(self.hall(), self.id());
-        long held = store.get(key).map(StoredValue::modRevision).orElse(0L);
+        long storedRevision = store.get(key).map(StoredValue::modRevision).orElse(0L);
         byte[] record = Json.write(new MemberRecord(self.id(), self.peerAddress(), leaving));
-        if (store.commit(new StoreTransaction().require(key, held).put(key, record, lease)).isEmpty())
+        if (store.commit(new StoreTransaction().require(key, storedRevision).put(key, record, leaseId))
+                .isEmpty())
         {
             throw new GaugehollowException(ResultCode.STORE_OUTCOME_UNKNOWN,
-                    "an earlier registration came late");
+                    "the registration was changed by a delayed earlier write");
         }
     }
 
-    /** Once this box's key is there nobody can take over from it, so the map read now is true of it. */
+    /**
+     * Reads the assignment map. Once this box is registered no other box can take over from it, so its
+     * assignments in this map stay valid.
+     */
     private void readMap() throws InterruptedException
     {
         String name = StoreKeys.hallMap(self.hall());
@@ -202,12 +207,12 @@
         map.ifPresent(v -> config.applyOwn(new ConfigEntry(name, v.modRevision(), v.value(), false)));
     }
 
-    private void noteAnswering(boolean now, String text)
+    private void setStoreAvailable(boolean available, String reason)
     {
-        if (now != answering)
+        if (available != storeAvailable)
         {
-            answering = now;
-            events.record(now ? EventType.STORE_FOUND : EventType.STORE_LOST, self.id(), text);
+            storeAvailable = available;
+            events.record(available ? EventType.STORE_FOUND : EventType.STORE_LOST, self.id(), reason);
         }
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/TakeoverGuard.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/TakeoverGuard.java
@@ -15,109 +15,110 @@
 import org.gaugehollow.model.AssignmentMap;
 
 /**
- * Says which boxes may be taken over from. A box whose key is gone from the store may still have
- * rights by the word of its peers; so first enough boxes must have heard that the store answers,
- * and then the time must pass for which a word given before that is good. Used by one task.
+ * Determines which boxes can be taken over. A box whose registration is gone may still have rights
+ * confirmed by its peers. A takeover therefore waits until a quorum of boxes has replied to this
+ * box since the registration was found missing, and then until earlier peer confirmations have
+ * expired. Not thread-safe.
  */
 final class TakeoverGuard
 {
-    private static final long MARGIN_MILLIS = 200;
+    private static final long SAFETY_MARGIN_MILLIS = 200;
 
-    /** Since when a box is missing, and since when the quorum has known it. */
-    private static final class Missing
+    /** The time since which a box is not registered, and since which the quorum is informed. */
+    private static final class MissingBox
     {
-        private final long since;
-        private boolean quorum;
-        private long quorumSince;
+        private final long missingSince;
+        private boolean quorumInformed;
+        private long quorumInformedAt;
 
-        Missing(long since)
+        MissingBox(long missingSince)
         {
-            this.since = since;
+            this.missingSince = missingSince;
         }
     }
 
     private final BoxIdentity self;
     private final PeerMonitor peers;
-    private final long waitNanos;
-    private final long abandonNanos;
+    private final long takeoverDelayNanos;
+    private final long forceTakeoverNanos;
     private final EventLog events;
-    private final Map<String, Missing> missing = new HashMap<>();
+    private final Map<String, MissingBox> missingBoxes = new HashMap<>();
 
-    TakeoverGuard(BoxIdentity self, PeerMonitor peers, long witnessMillis, long abandonSeconds,
+    TakeoverGuard(BoxIdentity self, PeerMonitor peers, long confirmationMillis, long abandonSeconds,
             EventLog events)
     {
         this.self = self;
         this.peers = peers;
-        this.waitNanos = TimeUnit.MILLISECONDS.toNanos(witnessMillis + MARGIN_MILLIS);
-        this.abandonNanos = TimeUnit.SECONDS.toNanos(abandonSeconds);
+        this.takeoverDelayNanos = TimeUnit.MILLISECONDS.toNanos(confirmationMillis + SAFETY_MARGIN_MILLIS);
+        this.forceTakeoverNanos = TimeUnit.SECONDS.toNanos(abandonSeconds);
         this.events = events;
     }
 
-    /** The store did not answer, so nothing is known of who is missing since when. */
-    void forget()
+    /** Discards all observations, since the store didn't answer. */
+    void reset()
     {
-        missing.clear();
+        missingBoxes.clear();
     }
 
     /**
-     * The store listed the registered boxes.
+     * Evaluates a listing of the registered boxes.
      *
-     * @param map the map in force
-     * @param registered the boxes it listed
-     * @param now the present time, at most as late as the listing was asked for
-     * @return the boxes of the map whose rights have surely ended
+     * @param map the current map
+     * @param registered the ids of the registered boxes
+     * @param now the time at which the listing was received, on the steady clock
+     * @return the boxes of the map whose rights have certainly expired
      */
-    Set<String> lapsed(AssignmentMap map, Set<String> registered, long now)
+    Set<String> findExpired(AssignmentMap map, Set<String> registered, long now)
     {
-        missing.keySet().removeIf(box -> registered.contains(box) || !map.boxes().containsKey(box));
-        Set<String> lapsed = new HashSet<>();
+        missingBoxes.keySet().removeIf(box -> registered.contains(box) || !map.boxes().containsKey(box));
+        Set<String> expired = new HashSet<>();
         for (String box : map.boxes().keySet())
         {
-            if (!registered.contains(box) && hasLapsed(map, box, now))
+            if (!registered.contains(box) && isExpired(map, box, now))
             {
-                lapsed.add(box);
+                expired.add(box);
             }
         }
-        return lapsed;
+        return expired;
     }
 
-    private boolean hasLapsed(AssignmentMap map, String box, long now)
+    private boolean isExpired(AssignmentMap map, String box, long now)
     {
-        Missing state = missing.get(box);
+        MissingBox state = missingBoxes.get(box);
         if (state == null)
         {
-            state = new Missing(now);
-            missing.put(box, state);
-            events.record(EventType.TAKEOVER_WAITS, box, "its lease lapsed");
+            state = new MissingBox(now);
+            missingBoxes.put(box, state);
+            events.record(EventType.TAKEOVER_WAITS, box, "its lease expired");
         }
-        if (abandonNanos > 0 && now - state.since > abandonNanos)
+        if (forceTakeoverNanos > 0 && now - state.missingSince > forceTakeoverNanos)
         {
             return true;
         }
-        boolean quorum = informed(map, state.since) >= needed(map);
-        if (quorum && !state.quorum)
+        boolean quorumInformed = countInformed(map, state.missingSince) >= requiredCount(map);
+        if (quorumInformed && !state.quorumInformed)
         {
-            state.quorumSince = now;
+            state.quorumInformedAt = now;
         }
-        state.quorum = quorum;
-        return quorum && now - state.quorumSince > waitNanos;
+        state.quorumInformed = quorumInformed;
+        return quorumInformed && now - state.quorumInformedAt > takeoverDelayNanos;
     }
 
-    /** A map of one box is never extended by peers, so there is nobody to inform. */
-    private static int needed(AssignmentMap map)
+    /** Returns the quorum size; 0 for a map with a single box, whose rights no peer can extend. */
+    private static int requiredCount(AssignmentMap map)
     {
         return map.boxes().size() == 1 ? 0 : map.takeoverQuorum();
     }
 
-    private int informed(AssignmentMap map, long since)
+    private int countInformed(AssignmentMap map, long since)
     {
         int count = 0;
         for (String box : map.boxes().keySet())
         {
-            boolean told = box.equals(self.id()) || peers.view(box).filter(
+            boolean informed = box.equals(self.id()) || peers.view(box).filter(
                     v -> v.repliedPingSentAt().isPresent() && v.repliedPingSentAt().getAsLong() - since > 0)
                     .isPresent();
-            count += told ? 1 : 0;
+            count += informed ? 1 : 0;
         }
         return count;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/peer/PeerCodec.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/peer/PeerCodec.java
@@ -8,10 +8,12 @@
 import io.netty.handler.codec.LengthFieldBasedFrameDecoder;
 import io.netty.handler.codec.LengthFieldPrepender;
 
-/** The codec of peer connections: protobuf frames behind a four-byte length. */
+/**
+ * Adds the codec of peer connections to a pipeline: protobuf frames with a four-byte length prefix.
+ */
 final class PeerCodec
 {
-    private static final int LARGEST_FRAME = 16 << 20;
+    private static final int MAX_FRAME_BYTES = 16 << 20;
     private static final int LENGTH_BYTES = 4;
 
     private PeerCodec()
@@ -20,7 +22,7 @@
 
     static void addTo(ChannelPipeline pipeline)
     {
-        pipeline.addLast(new LengthFieldBasedFrameDecoder(LARGEST_FRAME, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
+        pipeline.addLast(new LengthFieldBasedFrameDecoder(MAX_FRAME_BYTES, 0, LENGTH_BYTES, 0, LENGTH_BYTES),
                 new LengthFieldPrepender(LENGTH_BYTES), new PeerFrameCodec());
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/peer/PeerDirectory.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/peer/PeerDirectory.java
@@ -12,7 +12,7 @@
 import org.gaugehollow.net.NetAddress;
 import org.gaugehollow.net.NetLoops;
 
-/** The links to peers, one for each address, opened when first used. Thread-safe. */
+/** Holds one link for each peer address, created on first use. Thread-safe. */
 public final class PeerDirectory implements AutoCloseable
 {
     private final NetLoops loops;
@@ -22,8 +22,8 @@
 
     /**
      * @param loops the event loops
-     * @param events stamps calls
-     * @param metrics counts bytes
+     * @param events the event log whose clock stamps calls
+     * @param metrics the metrics for sent bytes
      */
     public PeerDirectory(NetLoops loops, EventLog events, Metrics metrics)
     {
@@ -33,8 +33,8 @@
     }
 
     /**
-     * @param address a peer's address
-     * @return the link to it
+     * @param address the address of a peer
+     * @return the link to the peer
      */
     public PeerLink link(String address)
     {
@@ -42,7 +42,9 @@
     }
 
     /**
-     * @param address the address of a peer that is gone; its link is closed
+     * Closes and removes the link to a peer.
+     *
+     * @param address the address of the peer
      */
     public void drop(String address)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/peer/PeerFrameCodec.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/peer/PeerFrameCodec.java
@@ -17,8 +17,8 @@
 import io.netty.handler.codec.MessageToMessageCodec;
 
 /**
- * Turns the bytes of one frame into its message and back. Netty's own handlers for protobuf need
- * the full runtime; this project uses the small one, for the sake of the boxes' memory.
+ * Converts the bytes of a frame to its message and back. Netty's protobuf handlers require the full
+ * protobuf runtime; the lite runtime used here needs less memory.
  */
 final class PeerFrameCodec extends MessageToMessageCodec<ByteBuf, Frame>
 {
--- a/gaugehollow/src/main/java/org/gaugehollow/peer/PeerHandler.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/peer/PeerHandler.java
@@ -6,15 +6,15 @@
 
 import org.gaugehollow.peer.generated.PeerProtocol.Frame;
 
-/** Answers the calls of peers. Each call runs on a virtual thread of its own. */
+/** Handles calls from peers. Each call runs on its own virtual thread. */
 @FunctionalInterface
 public interface PeerHandler
 {
     /**
-     * Answers a call.
+     * Handles a call.
      *
      * @param call the call
-     * @return the reply's body; its call id is filled in by the server
+     * @return the reply; the server sets its call id
      * @throws InterruptedException if the process stops
      */
     Frame.Builder handle(Frame call) throws InterruptedException;
--- a/gaugehollow/src/main/java/org/gaugehollow/peer/PeerLink.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/peer/PeerLink.java
@@ -28,27 +28,25 @@
 import io.netty.channel.ChannelOption;
 import io.netty.channel.SimpleChannelInboundHandler;
 
-/**
- * The calls of this box to one peer, over one connection that is opened when needed. Thread-safe.
- */
+/** Sends calls to one peer over a single connection that is opened on demand. Thread-safe. */
 public final class PeerLink implements AutoCloseable
 {
-    private static final int CONNECT_MILLIS = 500;
+    private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
     private final NetLoops loops;
     private final InetSocketAddress target;
     private final EventLog events;
     private final Metrics metrics;
-    private final AtomicLong lastCall = new AtomicLong();
-    private final Map<Long, CompletableFuture<Frame>> open = new ConcurrentHashMap<>();
-    private ChannelFuture connecting;
+    private final AtomicLong lastCallId = new AtomicLong();
+    private final Map<Long, CompletableFuture<Frame>> pendingCalls = new ConcurrentHashMap<>();
+    private ChannelFuture connection;
     private boolean closed;
 
     /**
      * @param loops the event loops
-     * @param target the peer's address
-     * @param events stamps calls with this process' clock
-     * @param metrics counts bytes
+     * @param target the address of the peer
+     * @param events the event log whose clock stamps calls
+     * @param metrics the metrics for sent bytes
      */
     public PeerLink(NetLoops loops, InetSocketAddress target, EventLog events, Metrics metrics)
     {
@@ -61,19 +59,19 @@
     /**
      * Calls the peer and waits for its reply.
      *
-     * @param call the call's body
-     * @param timeoutMillis how long to wait
+     * @param call the call
+     * @param timeoutMillis the maximum time to wait for the reply in milliseconds
      * @return the reply
      * @throws InterruptedException if the process stops
-     * @throws GaugehollowException {@code PEER_UNREACHABLE} if the call was surely not sent,
-     *             {@code PEER_LOST} if it may have been, or the code that the peer gave
+     * @throws GaugehollowException {@code PEER_UNREACHABLE} if the call was certainly not sent,
+     *             {@code PEER_LOST} if it may have been sent, or the code of the peer's error reply
      */
     public Frame call(Frame.Builder call, long timeoutMillis) throws InterruptedException
     {
-        Channel connection = connected();
-        long id = lastCall.incrementAndGet();
+        Channel connection = awaitConnection();
+        long id = lastCallId.incrementAndGet();
         CompletableFuture<Frame> reply = new CompletableFuture<>();
-        open.put(id, reply);
+        pendingCalls.put(id, reply);
         try
         {
             Frame frame = call.setCallId(id).setHybridTime(events.clock().next()).build();
@@ -81,9 +79,9 @@
             if (!connection.writeAndFlush(frame).await().isSuccess())
             {
                 throw new GaugehollowException(ResultCode.PEER_LOST,
-                        "the connection ended while a call was sent");
+                        "the connection was lost while sending a call");
             }
-            return checked(reply.get(Math.max(1, timeoutMillis), TimeUnit.MILLISECONDS));
+            return checkReply(reply.get(Math.max(1, timeoutMillis), TimeUnit.MILLISECONDS));
         }
         catch (TimeoutException | ExecutionException e)
         {
@@ -92,11 +90,11 @@
         }
         finally
         {
-            open.remove(id);
+            pendingCalls.remove(id);
         }
     }
 
-    private Frame checked(Frame reply)
+    private Frame checkReply(Frame reply)
     {
         events.clock().observe(reply.getHybridTime());
         if (reply.getBodyCase() == Frame.BodyCase.ERROR)
@@ -107,53 +105,53 @@
         return reply;
     }
 
-    /** Calls that need a new connection wait for the same one, not one after the other. */
-    private Channel connected() throws InterruptedException
+    /** Waits for the connection. Concurrent calls share one connection attempt. */
+    private Channel awaitConnection() throws InterruptedException
     {
-        ChannelFuture attempt = attempt().await();
-        if (!attempt.isSuccess())
+        ChannelFuture future = openConnection().await();
+        if (!future.isSuccess())
         {
             throw new GaugehollowException(ResultCode.PEER_UNREACHABLE,
-                    "cannot reach " + NetAddress.format(target), attempt.cause());
+                    "cannot reach " + NetAddress.format(target), future.cause());
         }
-        return attempt.channel();
+        return future.channel();
     }
 
-    private synchronized ChannelFuture attempt()
+    private synchronized ChannelFuture openConnection()
     {
         if (closed)
         {
             throw new GaugehollowException(ResultCode.PEER_UNREACHABLE, "the link is closed");
         }
-        boolean usable = connecting != null && (!connecting.isDone() || connecting.channel().isActive());
+        boolean usable = connection != null && (!connection.isDone() || connection.channel().isActive());
         if (!usable)
         {
-            connecting = connect();
+            connection = connect();
         }
-        return connecting;
+        return connection;
     }
 
     private ChannelFuture connect()
     {
         return loops.client().option(ChannelOption.TCP_NODELAY, true)
-                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_MILLIS)
+                .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .handler(new ChannelInitializer<Channel>()
                 {
                     @Override
                     protected void initChannel(Channel ch)
                     {
                         PeerCodec.addTo(ch.pipeline());
-                        ch.pipeline().addLast(new Receiver());
+                        ch.pipeline().addLast(new ReplyReceiver());
                     }
                 }).connect(target);
     }
 
-    /** Ends the connection, so that the next call opens a new one. */
+    /** Closes the connection, so that the next call opens a new one. */
     public synchronized void reset()
     {
-        if (connecting != null)
+        if (connection != null)
         {
-            connecting.channel().close().awaitUninterruptibly();
+            connection.channel().close().awaitUninterruptibly();
         }
     }
 
@@ -164,16 +162,16 @@
         reset();
     }
 
-    /** Gives each reply to the call that waits for it; a reply that nobody waits for is dropped. */
-    private final class Receiver extends SimpleChannelInboundHandler<Frame>
+    /** Completes the pending call of each reply and drops replies without a pending call. */
+    private final class ReplyReceiver extends SimpleChannelInboundHandler<Frame>
     {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Frame reply)
         {
-            CompletableFuture<Frame> waiting = open.remove(reply.getCallId());
-            if (waiting != null)
+            CompletableFuture<Frame> pending = pendingCalls.remove(reply.getCallId());
+            if (pending != null)
             {
-                waiting.complete(reply);
+                pending.complete(reply);
             }
         }
 
@@ -181,8 +179,8 @@
         public void channelInactive(ChannelHandlerContext ctx)
         {
             GaugehollowException lost = new GaugehollowException(ResultCode.PEER_LOST,
-                    "the connection ended");
-            open.values().forEach(waiting -> waiting.completeExceptionally(lost));
+                    "the connection was lost");
+            pendingCalls.values().forEach(pending -> pending.completeExceptionally(lost));
         }
 
         @Override
--- a/gaugehollow/src/main/java/org/gaugehollow/peer/PeerServer.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/peer/PeerServer.java
@@ -28,25 +28,26 @@
 import io.netty.channel.socket.nio.NioServerSocketChannel;
 import io.netty.util.concurrent.GlobalEventExecutor;
 
-/** Listens for peers and answers their calls. */
+/** Accepts connections from peers and answers their calls. */
 public final class PeerServer implements AutoCloseable
 {
-    private static final int MOST_OPEN_CALLS = 4096;
+    private static final int MAX_OPEN_CALLS = 4096;
 
     private final PeerHandler handler;
     private final EventLog events;
-    private final Semaphore openCalls = new Semaphore(MOST_OPEN_CALLS);
+    private final Semaphore openCalls = new Semaphore(MAX_OPEN_CALLS);
     private final ChannelGroup connections = new DefaultChannelGroup(GlobalEventExecutor.INSTANCE);
     private final Channel listener;
 
     /**
-     * Starts to listen.
+     * Starts listening.
      *
      * @param loops the event loops
-     * @param address where to listen
-     * @param events where faults are recorded
-     * @param handler answers the calls
-     * @throws GaugehollowException with {@link ResultCode#ADDRESS_IN_USE} if the address is taken
+     * @param address the address to listen on
+     * @param events the event log for failures
+     * @param handler the handler of the calls
+     * @throws GaugehollowException with {@link ResultCode#ADDRESS_IN_USE} if the address cannot be
+     *             bound
      */
     public PeerServer(NetLoops loops, InetSocketAddress address, EventLog events, PeerHandler handler)
     {
@@ -61,19 +62,19 @@
                     {
                         connections.add(channel);
                         PeerCodec.addTo(channel.pipeline());
-                        channel.pipeline().addLast(new Receiver());
+                        channel.pipeline().addLast(new CallReceiver());
                     }
                 });
-        ChannelFuture bound = bootstrap.bind(address).awaitUninterruptibly();
-        if (!bound.isSuccess())
+        ChannelFuture binding = bootstrap.bind(address).awaitUninterruptibly();
+        if (!binding.isSuccess())
         {
             throw new GaugehollowException(ResultCode.ADDRESS_IN_USE,
-                    NetAddress.format(address) + " is taken", bound.cause());
+                    NetAddress.format(address) + " is already in use", binding.cause());
         }
-        listener = bound.channel();
+        listener = binding.channel();
     }
 
-    /** @return the address it listens on, with the port it was given */
+    /** @return the bound address, with the actual port */
     public InetSocketAddress address()
     {
         return (InetSocketAddress) listener.localAddress();
@@ -86,7 +87,7 @@
         connections.close().awaitUninterruptibly();
     }
 
-    private void answer(Channel channel, Frame call)
+    private void handleCall(Channel channel, Frame call)
     {
         events.clock().observe(call.getHybridTime());
         Frame.Builder reply;
@@ -106,7 +107,7 @@
         catch (RuntimeException e)
         {
             events.record(EventType.INTERNAL_FAULT, call.getBodyCase().name(), String.valueOf(e));
-            reply = errorOf(ResultCode.INTERNAL, "a fault inside the box");
+            reply = errorOf(ResultCode.INTERNAL, "internal error");
         }
         finally
         {
@@ -123,7 +124,7 @@
             if (!written.isSuccess())
             {
                 events.record(EventType.PEER_LOST, String.valueOf(channel.remoteAddress()),
-                        "a reply was not sent");
+                        "failed to send a reply");
             }
         });
     }
@@ -136,17 +137,17 @@
     }
 
     /** Starts a virtual thread for each call. */
-    private final class Receiver extends SimpleChannelInboundHandler<Frame>
+    private final class CallReceiver extends SimpleChannelInboundHandler<Frame>
     {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, Frame call)
         {
             if (!openCalls.tryAcquire())
             {
-                send(ctx.channel(), call, errorOf(ResultCode.QUEUE_FULL, "too many calls are open"));
+                send(ctx.channel(), call, errorOf(ResultCode.QUEUE_FULL, "too many open calls"));
                 return;
             }
-            Thread.ofVirtual().name("peer-call").start(() -> answer(ctx.channel(), call));
+            Thread.ofVirtual().name("peer-call").start(() -> handleCall(ctx.channel(), call));
         }
 
         @Override
--- a/gaugehollow/src/main/java/org/gaugehollow/time/SteadyClock.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/time/SteadyClock.java
@@ -12,75 +12,80 @@
 import java.lang.invoke.MethodHandle;
 
 /**
- * The clock of all leases, terms, rights and ages: it never goes back, and it goes on while the
- * machine is suspended. {@link System#nanoTime} stands still then, so that a box would go on with
- * rights that are over elsewhere. A call takes some 35 ns in first-tier code (20 ns for
- * {@code nanoTime}).
+ * A monotonic clock that keeps counting while the machine is suspended, used for leases, terms,
+ * rights and ages. {@link System#nanoTime} stops during suspension, so a box could keep using
+ * rights that have already expired elsewhere.
  */
 public final class SteadyClock
 {
     private static final String FUNCTION = "clock_gettime";
-    /** The kernel's clock that counts suspension; from {@code linux/time.h}. */
+    /** The id of the kernel clock that includes suspension, from {@code linux/time.h}. */
     private static final int CLOCK_BOOTTIME = 7;
     private static final long NANOS_PER_SECOND = 1_000_000_000L;
-    private static final long UNKNOWN_CLOCK = -1;
+    private static final long READ_FAILED = -1;
 
-    /** Constant, so that calls through it are compiled; null where the system has no such clock. */
-    private static final MethodHandle BOOT_TIME = find(Linker.nativeLinker().defaultLookup(), CLOCK_BOOTTIME);
+    /**
+     * Static and final so that the JIT can inline calls; null if the system does not have this clock.
+     */
+    private static final MethodHandle BOOT_TIME_FUNCTION = findFunction(Linker.nativeLinker().defaultLookup(),
+            CLOCK_BOOTTIME);
 
     private SteadyClock()
     {
     }
 
-    /** @return nanoseconds since some moment before this process began */
+    /** @return nanoseconds since an arbitrary origin before the start of this process */
     public static long nanos()
     {
-        return read(BOOT_TIME, CLOCK_BOOTTIME);
+        return read(BOOT_TIME_FUNCTION, CLOCK_BOOTTIME);
     }
 
-    /** @return whether the clock goes on while the machine is suspended */
+    /** @return whether the clock advances while the machine is suspended */
     public static boolean countsSuspension()
     {
-        return BOOT_TIME != null;
+        return BOOT_TIME_FUNCTION != null;
     }
 
     /**
-     * Finds the function that reads a clock of the system.
+     * Looks up the system function that reads a clock.
      *
-     * @param lookup finds the system's functions
-     * @param clock the kernel's number of the clock
-     * @return the function, or null where the system does not have it or does not know the clock
+     * @param lookup the symbol lookup of the system
+     * @param clockId the kernel's id of the clock
+     * @return the function, or null if the system does not support it or the clock
      */
-    static MethodHandle find(SymbolLookup lookup, int clock)
+    static MethodHandle findFunction(SymbolLookup lookup, int clockId)
     {
-        FunctionDescriptor type = FunctionDescriptor.of(ValueLayout.JAVA_INT, ValueLayout.JAVA_INT,
+        FunctionDescriptor descriptor = FunctionDescriptor.of(ValueLayout.JAVA_INT, ValueLayout.JAVA_INT,
                 ValueLayout.ADDRESS);
-        return lookup.find(FUNCTION).map(
-                address -> Linker.nativeLinker().downcallHandle(address, type, Linker.Option.critical(true)))
-                .filter(function -> call(function, clock) != UNKNOWN_CLOCK).orElse(null);
+        return lookup.find(FUNCTION)
+                .map(address -> Linker.nativeLinker().downcallHandle(address, descriptor,
+                        Linker.Option.critical(true)))
+                .filter(function -> invoke(function, clockId) != READ_FAILED).orElse(null);
     }
 
     /**
-     * @param function reads the clock; null for the one of the runtime in its place
-     * @param clock the kernel's number of the clock
-     * @return nanoseconds
+     * Reads a clock.
+     *
+     * @param function the system function, or null for {@link System#nanoTime}
+     * @param clockId the kernel's id of the clock
+     * @return the time in nanoseconds
      */
-    static long read(MethodHandle function, int clock)
+    static long read(MethodHandle function, int clockId)
     {
-        return function == null ? System.nanoTime() : call(function, clock);
+        return function == null ? System.nanoTime() : invoke(function, clockId);
     }
 
-    private static long call(MethodHandle function, int clock)
+    private static long invoke(MethodHandle function, int clockId)
     {
-        long[] time = new long[2];
+        long[] timespec = new long[2];
         try
         {
-            int failed = (int) function.invokeExact(clock, MemorySegment.ofArray(time));
-            return failed == 0 ? time[0] * NANOS_PER_SECOND + time[1] : UNKNOWN_CLOCK;
+            int status = (int) function.invokeExact(clockId, MemorySegment.ofArray(timespec));
+            return status == 0 ? timespec[0] * NANOS_PER_SECOND + timespec[1] : READ_FAILED;
         }
         catch (Throwable e)
         {
-            throw new LinkageError("the system's clock cannot be read", e);
+            throw new LinkageError("failed to call clock_gettime", e);
         }
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/keys/KeyTableTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/keys/KeyTableTest.java
@@ -24,18 +24,18 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/** What the owner of a key slot says of a key. */
+/** Guards against running a request twice under the same idempotency key. */
 class KeyTableTest
 {
     private static final long NOW = 1_000_000;
     private final AtomicLong wall = new AtomicLong(NOW);
     private final KeyTable table = new KeyTable(new KeyLimits(60_000, 200, 5), wall::get);
 
-    private void own(long completeSince)
+    private void ownAllSlots(long completeSince)
     {
         for (int slot = 0; slot < KeySlots.COUNT; slot++)
         {
-            table.take(slot, new KeySlot(slot, completeSince));
+            table.addSlot(slot, new KeySlot(slot, completeSince));
         }
     }
 
@@ -46,9 +46,9 @@
     }
 
     @Test
-    void onlyTheFirstAskRuns()
+    void onlyFirstRegistrationRuns()
     {
-        own(0);
+        ownAllSlots(0);
         KeyTable.Registration first = table.register("t", "k", "goal", NOW, "task-1");
         KeyTable.Registration second = table.register("t", "k", "goal", NOW, "task-2");
         assertThat(first.first()).isTrue();
@@ -58,9 +58,9 @@
     }
 
     @Test
-    void whatWasNotRunMayRunLater()
+    void requestThatWasNotRunMayRunLater()
     {
-        own(0);
+        ownAllSlots(0);
         KeyTable.Registration first = table.register("t", "k", "goal", NOW, "task-1");
         table.recordNotRun(first.entry(), Answer.getDefaultInstance());
         assertThat(table.register("t", "k", "goal", NOW, "task-2").first()).isTrue();
@@ -68,9 +68,9 @@
     }
 
     @Test
-    void aKeyForAnotherWorkloadIsAConflict()
+    void keyForAnotherWorkloadIsAConflict()
     {
-        own(0);
+        ownAllSlots(0);
         assertThat(table.register("t", "k", "goal", NOW, "task-1").first()).isTrue();
         assertThat(assertThrows(GaugehollowException.class,
                 () -> table.register("t", "k", "booking", NOW, "task-2")).code())
@@ -78,9 +78,9 @@
     }
 
     @Test
-    void withoutEvidenceOnlyAKeyMadeLaterRuns()
+    void incompleteSlotRunsOnlyKeysIssuedLater()
     {
-        own(NOW);
+        ownAllSlots(NOW);
         assertThat(refusal("old", NOW - 1)).isEqualTo(ResultCode.EVIDENCE_LOST);
         assertThat(refusal("same-time", NOW + 150)).isEqualTo(ResultCode.EVIDENCE_LOST);
         assertThat(refusal("no-time", 0)).isEqualTo(ResultCode.EVIDENCE_LOST);
@@ -89,9 +89,9 @@
     }
 
     @Test
-    void aKeyOlderThanItsRecordIsNotRunOnAGuess()
+    void keyOlderThanTheRetentionIsRefused()
     {
-        own(0);
+        ownAllSlots(0);
         assertThat(table.register("t", "k", "goal", NOW, "task-1").first()).isTrue();
         table.recordAnswer(table.register("t", "k", "goal", NOW, "x").entry(), Answer.getDefaultInstance());
         wall.addAndGet(60_001);
@@ -101,9 +101,9 @@
     }
 
     @Test
-    void aKeyFromTheFutureAndATableThatIsFullAreRefused()
+    void futureKeyAndFullTableAreRefused()
     {
-        own(0);
+        ownAllSlots(0);
         assertThat(refusal("k", NOW + 201)).isEqualTo(ResultCode.BAD_REQUEST);
         for (int i = 0; i < 5; i++)
         {
@@ -113,21 +113,21 @@
     }
 
     @Test
-    void aSlotThatIsMovingTakesNoNewKeyButKnowsItsOldOnes()
+    void movingSlotRefusesNewKeysButKnowsExistingOnes()
     {
-        own(0);
+        ownAllSlots(0);
         assertThat(table.register("t", "k", "goal", NOW, "task-1").first()).isTrue();
         table.setMoving(table.owned(), true);
         assertThat(table.register("t", "k", "goal", NOW, "task-2").first()).isFalse();
         assertThat(refusal("k2", NOW)).isEqualTo(ResultCode.KEY_MOVING);
     }
 
-    /** A slot copied record by record, in any interleaving of runs, says the same as the owner's. */
+    /** Guards against a replica that differs from the owner's slot after any interleaving of runs. */
     @Property(tries = 200, seed = "99")
-    void aCopySaysWhatTheOwnerSays(@ForAll @Size(max = 60) List<@IntRange(max = 29) Integer> steps)
+    void replicaMatchesTheOwner(@ForAll @Size(max = 60) List<@IntRange(max = 29) Integer> steps)
     {
         KeySlot owner = new KeySlot(3, 0);
-        KeySlot copy = KeySlot.of(owner.toEvidence());
+        KeySlot replica = KeySlot.fromMessage(owner.toMessage());
         Map<String, KeyEntry> running = new HashMap<>();
         int task = 0;
         for (int step : steps)
@@ -137,27 +137,27 @@
             if (entry == null)
             {
                 task++;
-                KeyEntry fresh = new KeyEntry("t", key, "goal", "task-" + task, 3, NOW);
-                if (owner.entries().putIfAbsent(fresh.name(), fresh) == null)
+                KeyEntry created = new KeyEntry("t", key, "goal", "task-" + task, 3, NOW);
+                if (owner.entries().putIfAbsent(created.name(), created) == null)
                 {
-                    running.put(key, fresh);
-                    copy.apply(fresh.intendedRecord());
+                    running.put(key, created);
+                    replica.apply(created.intendedRecord());
                 }
             }
             else if (step < 20)
             {
                 entry.answer().complete(Answer.newBuilder().setTask(entry.task()).build());
                 running.remove(key);
-                copy.apply(entry.endedRecord());
+                replica.apply(entry.endedRecord());
             }
             else
             {
                 owner.entries().remove(entry.name());
                 running.remove(key);
-                copy.apply(entry.forgetRecord());
+                replica.apply(entry.forgetRecord());
             }
         }
-        assertThat(new ArrayList<>(copy.toEvidence().getRecordsList()))
-                .containsExactlyElementsIn(owner.toEvidence().getRecordsList());
+        assertThat(new ArrayList<>(replica.toMessage().getRecordsList()))
+                .containsExactlyElementsIn(owner.toMessage().getRecordsList());
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/keys/ReplicaTableTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/keys/ReplicaTableTest.java
@@ -17,7 +17,7 @@
 import org.gaugehollow.peer.generated.PeerProtocol.SlotEvidence;
 import org.junit.jupiter.api.Test;
 
-/** When a copy of another box's records counts as complete. */
+/** Guards against treating an incomplete replica as complete. */
 class ReplicaTableTest
 {
     private final ReplicaTable replicas = new ReplicaTable("b");
@@ -31,84 +31,84 @@
 
     private static AssignmentMap join(AssignmentMap map, String box)
     {
-        return MapPlanner.afterMembership(map, Set.of(), List.of(box(box)), Set.of());
+        return MapPlanner.afterMembershipChange(map, Set.of(), List.of(box(box)), Set.of());
     }
 
     private static AssignmentMap remove(AssignmentMap map, String box)
     {
-        return MapPlanner.afterMembership(map, Set.of(box), List.of(), Set.of());
+        return MapPlanner.afterMembershipChange(map, Set.of(box), List.of(), Set.of());
     }
 
-    private static CopyCall full(String owner)
+    private static CopyCall fullCopy(String owner)
     {
         return CopyCall.newBuilder().setOwner(owner).addFull(SlotEvidence.newBuilder().setSlot(0)).build();
     }
 
-    private static CopyCall record(String owner)
+    private static CopyCall recordCopy(String owner)
     {
         return CopyCall.newBuilder().setOwner(owner).addRecords(KeyRecord.newBuilder().setSlot(0).setState(1))
                 .build();
     }
 
-    private boolean complete(AssignmentMap after, String owner)
+    private boolean isComplete(AssignmentMap after, String owner)
     {
-        return replicas.evidenceOf(0, owner, true, after.epoch()).isPresent();
+        return replicas.takeComplete(0, owner, true, after.epoch()).isPresent();
     }
 
     @Test
-    void copiesOfTheBoxThatThisOneSucceedsAreComplete()
+    void replicasKeptBySuccessorAreComplete()
     {
         replicas.applyMap(two);
-        assertThat(replicas.applyCopy(record("a"))).isFalse();
-        assertThat(replicas.applyCopy(full("a"))).isTrue();
-        assertThat(replicas.applyCopy(record("a"))).isTrue();
+        assertThat(replicas.applyCopy(recordCopy("a"))).isFalse();
+        assertThat(replicas.applyCopy(fullCopy("a"))).isTrue();
+        assertThat(replicas.applyCopy(recordCopy("a"))).isTrue();
         AssignmentMap after = remove(two, "a");
         replicas.applyMap(after);
-        assertThat(complete(after, "a")).isTrue();
+        assertThat(isComplete(after, "a")).isTrue();
     }
 
     @Test
-    void aBoxThatIsNotTheSuccessorKeepsNoCopies()
+    void boxThatIsNotTheSuccessorKeepsNoReplicas()
     {
         AssignmentMap three = join(two, "c");
         replicas.applyMap(three);
-        assertThat(replicas.applyCopy(full("b"))).isFalse();
-        assertThat(replicas.applyCopy(full("c"))).isFalse();
+        assertThat(replicas.applyCopy(fullCopy("b"))).isFalse();
+        assertThat(replicas.applyCopy(fullCopy("c"))).isFalse();
     }
 
     @Test
-    void copiesAreDroppedWhenAnotherBoxComesBetween()
+    void replicasAreDroppedWhenTheSuccessorChanges()
     {
         ReplicaTable first = new ReplicaTable("a");
         first.applyMap(two);
-        assertThat(first.applyCopy(full("b"))).isTrue();
+        assertThat(first.applyCopy(fullCopy("b"))).isTrue();
         AssignmentMap three = join(two, "c");
         first.applyMap(three);
         AssignmentMap without = remove(remove(three, "c"), "b");
         first.applyMap(remove(three, "c"));
         first.applyMap(without);
-        assertThat(first.evidenceOf(0, "b", true, without.epoch())).isEmpty();
+        assertThat(first.takeComplete(0, "b", true, without.epoch())).isEmpty();
     }
 
     @Test
-    void copiesAreDoubtfulWhenAMapWasMissed()
+    void replicasAreIncompleteWhenAMapWasMissed()
     {
         replicas.applyMap(two);
-        assertThat(replicas.applyCopy(full("a"))).isTrue();
+        assertThat(replicas.applyCopy(fullCopy("a"))).isTrue();
         AssignmentMap skipped = join(two, "c");
         AssignmentMap after = remove(skipped, "a");
         replicas.applyMap(after);
-        assertThat(complete(after, "a")).isFalse();
+        assertThat(isComplete(after, "a")).isFalse();
     }
 
     @Test
-    void aHandOverCountsOnlyForTheChangeItWasMadeFor()
+    void handOverCountsOnlyForItsOwnMapChange()
     {
         replicas.applyMap(two);
-        CopyCall handOver = full("a").toBuilder().setHandOver(true).setMapEpoch(two.epoch()).build();
+        CopyCall handOver = fullCopy("a").toBuilder().setHandOver(true).setMapEpoch(two.epoch()).build();
         assertThat(replicas.applyCopy(handOver)).isTrue();
-        assertThat(replicas.evidenceOf(0, "a", false, two.epoch() + 1)).isPresent();
+        assertThat(replicas.takeComplete(0, "a", false, two.epoch() + 1)).isPresent();
         assertThat(replicas.applyCopy(handOver)).isTrue();
-        assertThat(replicas.evidenceOf(0, "a", false, two.epoch() + 2)).isEmpty();
+        assertThat(replicas.takeComplete(0, "a", false, two.epoch() + 2)).isEmpty();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/membership/MapPlannerTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/membership/MapPlannerTest.java
@@ -23,14 +23,11 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-/**
- * Whatever comes and goes, every slot and worker has one owner in the map and nothing moves without
- * need.
- */
+/** Guards against slots or workers without exactly one owner and against unnecessary moves. */
 class MapPlannerTest
 {
     @Property(tries = 300, seed = "815")
-    void everythingHasOneOwnerAndNothingMovesWithoutNeed(
+    void membershipChangesKeepOneOwnerAndMoveOnlyWhatTheyMust(
             @ForAll @Size(max = 40) List<@IntRange(max = 23) Integer> steps)
     {
         AssignmentMap map = AssignmentMap.initial(box(0));
@@ -51,13 +48,13 @@
             {
                 toggle(workers, "w" + (step - 16));
             }
-            AssignmentMap next = MapPlanner.afterMembership(map, removed, joining, workers);
-            assertWholeAndStable(map, next, workers);
+            AssignmentMap next = MapPlanner.afterMembershipChange(map, removed, joining, workers);
+            assertCompleteAndStable(map, next, workers);
             map = next;
         }
     }
 
-    private static void assertWholeAndStable(AssignmentMap map, AssignmentMap next, Set<String> workers)
+    private static void assertCompleteAndStable(AssignmentMap map, AssignmentMap next, Set<String> workers)
     {
         assertThat(next.boxes()).isNotEmpty();
         assertThat(next.slotOwners()).hasSize(KeySlots.COUNT);
@@ -87,7 +84,7 @@
     }
 
     @Property(tries = 200, seed = "816")
-    void givingMakesAllEvenAndStops(@ForAll @IntRange(min = 2, max = 8) int boxes,
+    void transfersBalanceTheBoxes(@ForAll @IntRange(min = 2, max = 8) int boxes,
             @ForAll @IntRange(max = 60) int owned)
     {
         Map<String, Integer> counts = new HashMap<>();
@@ -96,25 +93,25 @@
             counts.put("b" + i, 0);
         }
         counts.put("b0", owned);
-        List<Integer> own = IntStream.range(0, owned).boxed().toList();
-        Map<Integer, String> gifts = MapPlanner.surplus(counts, "b0", false, own);
-        gifts.forEach((slot, box) ->
+        List<Integer> slots = IntStream.range(0, owned).boxed().toList();
+        Map<Integer, String> targets = MapPlanner.surplus(counts, "b0", false, slots);
+        targets.forEach((slot, box) ->
         {
             counts.merge("b0", -1, Integer::sum);
             counts.merge(box, 1, Integer::sum);
         });
-        int most = counts.values().stream().mapToInt(Integer::intValue).max().orElse(0);
-        int least = counts.values().stream().mapToInt(Integer::intValue).min().orElse(0);
-        assertThat(most - least).isAtMost(1);
+        int highest = counts.values().stream().mapToInt(Integer::intValue).max().orElse(0);
+        int lowest = counts.values().stream().mapToInt(Integer::intValue).min().orElse(0);
+        assertThat(highest - lowest).isAtMost(1);
     }
 
     @Property(tries = 50, seed = "817")
-    void everyMajorityMeetsEveryTakeoverQuorum(@ForAll @IntRange(min = 1, max = 9) int boxes)
+    void majorityAndTakeoverQuorumAlwaysOverlap(@ForAll @IntRange(min = 1, max = 9) int boxes)
     {
         AssignmentMap map = AssignmentMap.initial(box(0));
         for (int i = 1; i < boxes; i++)
         {
-            map = MapPlanner.afterMembership(map, Set.of(), List.of(box(i)), Set.of());
+            map = MapPlanner.afterMembershipChange(map, Set.of(), List.of(box(i)), Set.of());
         }
         assertThat(map.majority() + map.takeoverQuorum()).isEqualTo(boxes + 1);
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/membership/RightsTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/membership/RightsTest.java
@@ -12,67 +12,68 @@
 
 import org.junit.jupiter.api.Test;
 
-/** When a box may use what is its own. */
+/** Guards against a box using its assignments after its rights expired. */
 class RightsTest
 {
-    private static final long LEASE = 4_000;
-    private static final long WITNESS = 1_000;
+    private static final long LEASE_MILLIS = 4_000;
+    private static final long CONFIRMATION_MILLIS = 1_000;
     private final AtomicLong clock = new AtomicLong(Long.MAX_VALUE - 1_000_000);
-    private final Rights rights = new Rights(LEASE, WITNESS, clock::get);
+    private final Rights rights = new Rights(LEASE_MILLIS, CONFIRMATION_MILLIS, clock::get);
 
-    private void pass(long millis)
+    private void advanceMillis(long millis)
     {
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
     @Test
-    void aRenewalCountsFromWhenItWasSent()
+    void renewalCountsFromItsSendTime()
     {
         long sentAt = clock.get();
-        pass(1_500);
+        advanceMillis(1_500);
         rights.renew(sentAt);
-        pass(LEASE - 1_501);
+        advanceMillis(LEASE_MILLIS - 1_501);
         assertThat(rights.isValid()).isTrue();
-        pass(1);
+        advanceMillis(1);
         assertThat(rights.isValid()).isFalse();
     }
 
     @Test
-    void aMajorityOfFreshVouchersExtendsTheRight()
+    void majorityOfFreshConfirmationsExtendsRights()
     {
         rights.renew(clock.get());
-        pass(LEASE);
+        advanceMillis(LEASE_MILLIS);
         assertThat(rights.isValid()).isFalse();
         rights.extendByQuorum(List.of(clock.get(), clock.get() - TimeUnit.MILLISECONDS.toNanos(400)), 2);
         assertThat(rights.isFrozen()).isTrue();
-        pass(599);
+        advanceMillis(599);
         assertThat(rights.isValid()).isTrue();
-        pass(1);
+        advanceMillis(1);
         assertThat(rights.isValid()).isFalse();
     }
 
     @Test
-    void tooFewOrStaleVouchersExtendNothing()
+    void tooFewOrStaleConfirmationsExtendNothing()
     {
         rights.renew(clock.get());
-        pass(LEASE);
+        advanceMillis(LEASE_MILLIS);
         rights.extendByQuorum(List.of(clock.get()), 2);
-        rights.extendByQuorum(List.of(clock.get(), clock.get() - TimeUnit.MILLISECONDS.toNanos(WITNESS)), 2);
+        rights.extendByQuorum(
+                List.of(clock.get(), clock.get() - TimeUnit.MILLISECONDS.toNanos(CONFIRMATION_MILLIS)), 2);
         assertThat(rights.isValid()).isFalse();
     }
 
     @Test
-    void aWordOfAStoreThatAnsweredAfterTheLeaseCouldLapseDoesNotVouch()
+    void storeContactAfterLeaseExpiryDoesNotConfirm()
     {
         long renewedAt = clock.get();
         rights.renew(renewedAt);
-        long lapses = renewedAt + TimeUnit.MILLISECONDS.toNanos(LEASE);
-        assertThat(rights.isConfirmedBy(lapses)).isTrue();
-        assertThat(rights.isConfirmedBy(lapses + 1)).isFalse();
+        long expiresAt = renewedAt + TimeUnit.MILLISECONDS.toNanos(LEASE_MILLIS);
+        assertThat(rights.isConfirmedBy(expiresAt)).isTrue();
+        assertThat(rights.isConfirmedBy(expiresAt + 1)).isFalse();
     }
 
     @Test
-    void afterAPauseNothingCountsUntilItIsConfirmedAnew()
+    void suspendedAndRevokedRightsNeedNewConfirmation()
     {
         rights.renew(clock.get());
         rights.suspend();
--- a/gaugehollow/src/test/java/org/gaugehollow/membership/StoreLivenessTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/membership/StoreLivenessTest.java
@@ -11,26 +11,28 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What boxes tell each other of the store's last answer stays true however often it is told. */
+/**
+ * Guards against store contacts that appear newer than they are after being passed between boxes.
+ */
 class StoreLivenessTest
 {
     private static final long START = TimeUnit.DAYS.toNanos(1);
     private static final long PERIOD = TimeUnit.MILLISECONDS.toNanos(100);
-    private static final long WAY = TimeUnit.MICROSECONDS.toNanos(20_300);
+    private static final long DELAY = TimeUnit.MICROSECONDS.toNanos(20_300);
 
     private final AtomicLong clock = new AtomicLong(START);
     private final StoreLiveness first = new StoreLiveness("bole-1~a", clock::get);
     private final StoreLiveness second = new StoreLiveness("bole-2~b", clock::get);
 
-    private void tell(StoreLiveness from, StoreLiveness to)
+    private void propagate(StoreLiveness from, StoreLiveness to)
     {
-        StoreLiveness.Contact sighting = from.lastContact();
-        clock.addAndGet(WAY);
-        to.merge(sighting);
+        StoreLiveness.Contact contact = from.lastContact();
+        clock.addAndGet(DELAY);
+        to.merge(contact);
     }
 
     @Test
-    void anAnswerToldToAndFroInALongOutageDoesNotGrowYounger()
+    void repeatedlyPropagatedContactDoesNotGetNewer()
     {
         first.recordContact();
         clock.addAndGet(PERIOD);
@@ -38,36 +40,36 @@
         long lastAnswer = clock.get();
         for (int i = 0; i < 600; i++)
         {
-            tell(first, second);
-            tell(second, first);
+            propagate(first, second);
+            propagate(second, first);
             clock.addAndGet(PERIOD);
         }
-        long slack = WAY + TimeUnit.MILLISECONDS.toNanos(1);
+        long slack = DELAY + TimeUnit.MILLISECONDS.toNanos(1);
         assertThat(first.lastContactNanos() - lastAnswer).isAtMost(slack);
         assertThat(second.lastContactNanos() - lastAnswer).isAtMost(slack);
         assertThat(first.lastContactNanos()).isAtLeast(lastAnswer);
     }
 
     @Test
-    void aNewerAnswerOfTheSameBoxIsTaken()
+    void newerContactOfTheSameBoxReplacesTheOlder()
     {
         first.recordContact();
-        tell(first, second);
+        propagate(first, second);
         clock.addAndGet(PERIOD);
         first.recordContact();
         long newest = clock.get();
-        tell(first, second);
+        propagate(first, second);
         assertThat(second.lastContactNanos()).isAtLeast(newest);
     }
 
     @Test
-    void anOlderAnswerThatArrivesLateChangesNothing()
+    void lateOlderContactChangesNothing()
     {
         first.recordContact();
         StoreLiveness.Contact older = first.lastContact();
         clock.addAndGet(PERIOD);
         first.recordContact();
-        tell(first, second);
+        propagate(first, second);
         long known = second.lastContactNanos();
         clock.addAndGet(PERIOD);
         second.merge(older);
@@ -75,11 +77,11 @@
     }
 
     @Test
-    void aBoxThatKnowsOfNoAnswerTellsNothing()
+    void boxWithoutContactChangesNothing()
     {
         second.recordContact();
         long known = second.lastContactNanos();
-        tell(first, second);
+        propagate(first, second);
         assertThat(second.lastContactNanos()).isEqualTo(known);
         assertThat(first.lastContact()).isEqualTo(StoreLiveness.Contact.NONE);
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/peer/PeerLinkTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/peer/PeerLinkTest.java
@@ -29,46 +29,46 @@
 import org.gaugehollow.time.SteadyClock;
 import org.junit.jupiter.api.Test;
 
-/** Calls to a peer that cannot be reached. */
+/** Guards against calls to an unreachable peer that block each other. */
 class PeerLinkTest
 {
     private static final int CALLS = 6;
-    private static final int MOST_FILLERS = 64;
+    private static final int MAX_CONNECTIONS = 64;
 
-    /** Opens connections until the listener's queue takes no more, so that the next one hangs. */
-    private static List<Socket> fill(ServerSocket listener) throws IOException
+    /** Opens connections until the backlog of the listener is full, so that the next attempt hangs. */
+    private static List<Socket> fillBacklog(ServerSocket listener) throws IOException
     {
-        List<Socket> fillers = new ArrayList<>();
-        for (int i = 0; i < MOST_FILLERS; i++)
+        List<Socket> sockets = new ArrayList<>();
+        for (int i = 0; i < MAX_CONNECTIONS; i++)
         {
-            Socket filler = new Socket();
-            fillers.add(filler);
+            Socket socket = new Socket();
+            sockets.add(socket);
             try
             {
-                filler.connect(listener.getLocalSocketAddress(), 200);
+                socket.connect(listener.getLocalSocketAddress(), 200);
             }
             catch (SocketTimeoutException e)
             {
-                return fillers;
+                return sockets;
             }
         }
-        throw new IOException("the listener's queue never filled");
+        throw new IOException("the backlog of the listener did not fill up");
     }
 
     @Test
-    void callsToAPeerThatHangsDoNotWaitForEachOther() throws Exception
+    void callsToUnresponsivePeerDoNotWaitForEachOther() throws Exception
     {
         NetLoops loops = new NetLoops(Optional.empty());
         EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
-        List<Socket> fillers = new ArrayList<>();
+        List<Socket> sockets = new ArrayList<>();
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
                 PeerLink link = new PeerLink(loops, (InetSocketAddress) listener.getLocalSocketAddress(),
                         events, new Metrics()))
         {
-            fillers.addAll(fill(listener));
+            sockets.addAll(fillBacklog(listener));
             AtomicInteger unreachable = new AtomicInteger();
             List<Thread> callers = new ArrayList<>();
-            long begun = SteadyClock.nanos();
+            long startedAt = SteadyClock.nanos();
             for (int i = 0; i < CALLS; i++)
             {
                 callers.add(Thread.ofVirtual().start(() -> call(link, unreachable)));
@@ -78,13 +78,13 @@
                 caller.join();
             }
             assertThat(unreachable.get()).isEqualTo(CALLS);
-            assertThat(TimeUnit.NANOSECONDS.toMillis(SteadyClock.nanos() - begun)).isLessThan(1_500);
+            assertThat(TimeUnit.NANOSECONDS.toMillis(SteadyClock.nanos() - startedAt)).isLessThan(1_500);
         }
         finally
         {
-            for (Socket filler : fillers)
+            for (Socket socket : sockets)
             {
-                filler.close();
+                socket.close();
             }
             loops.close();
         }
--- a/gaugehollow/src/test/java/org/gaugehollow/peer/PeerServerTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/peer/PeerServerTest.java
@@ -29,7 +29,7 @@
 import net.jqwik.api.lifecycle.AfterContainer;
 import net.jqwik.api.lifecycle.BeforeContainer;
 
-/** Calls between peers, and what arrives that is no call. */
+/** Guards against replies that reach the wrong call and against failures on invalid input. */
 class PeerServerTest
 {
     private static NetLoops loops;
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void aLateReplyReachesNoOtherCall() throws Exception
+    void lateReplyReachesNoOtherCall() throws Exception
     {
         try (PeerLink link = link())
         {
@@ -94,7 +94,7 @@
     }
 
     @Test
-    void aRefusalKeepsItsCodeAndAnUnreachablePeerIsToldApart() throws Exception
+    void refusalKeepsItsCodeAndDiffersFromUnreachablePeer() throws Exception
     {
         try (PeerLink link = link())
         {
@@ -111,7 +111,7 @@
     }
 
     @Property(tries = 150, seed = "8")
-    void anyBytesLeaveThePortServing(@ForAll byte[] bytes) throws Exception
+    void serverKeepsServingAfterInvalidBytes(@ForAll byte[] bytes) throws Exception
     {
         try (Socket socket = new Socket())
         {
@@ -121,7 +121,7 @@
         }
         catch (SocketException e)
         {
-            // the server closed the connection before all was written
+            // The server may close the connection before all bytes are written.
         }
         try (PeerLink link = link())
         {
--- a/gaugehollow/src/test/java/org/gaugehollow/time/SteadyClockTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/time/SteadyClockTest.java
@@ -15,17 +15,20 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The clock that counts suspension, and what stands in where the system has none. */
+/**
+ * Guards against a clock that stops during suspension or fails where the system function is
+ * missing.
+ */
 class SteadyClockTest
 {
     private static final int CLOCK_MONOTONIC = 1;
-    private static final int NO_CLOCK = 9_999;
+    private static final int UNKNOWN_CLOCK_ID = 9_999;
     private static final long PAUSE_MILLIS = 30;
 
-    private static LongSupplier clock(SymbolLookup lookup, int number)
+    private static LongSupplier clock(SymbolLookup lookup, int clockId)
     {
-        MethodHandle function = SteadyClock.find(lookup, number);
-        return () -> SteadyClock.read(function, number);
+        MethodHandle function = SteadyClock.findFunction(lookup, clockId);
+        return () -> SteadyClock.read(function, clockId);
     }
 
     private static void assertRuns(LongSupplier clock) throws InterruptedException
@@ -38,15 +41,15 @@
     }
 
     @Test
-    void theClockRunsAndCountsSuspension() throws InterruptedException
+    void clockRunsAndCountsSuspension() throws InterruptedException
     {
         assertRuns(SteadyClock::nanos);
         assertThat(SteadyClock.countsSuspension()).isTrue();
     }
 
-    /** The runtime's clock is the kernel's monotonic one: read both ways, it shows the same time. */
+    /** Compares with {@link System#nanoTime}, which reads the same kernel clock. */
     @Test
-    void aClockOfTheSystemIsReadInNanoseconds()
+    void systemClockIsReadInNanoseconds()
     {
         LongSupplier clock = clock(Linker.nativeLinker().defaultLookup(), CLOCK_MONOTONIC);
         long before = System.nanoTime();
@@ -56,10 +59,10 @@
     }
 
     @Test
-    void whereTheSystemHasNoSuchClockTheRuntimesClockStandsIn() throws InterruptedException
+    void fallsBackToNanoTimeWithoutSystemClock() throws InterruptedException
     {
         SymbolLookup nothing = name -> Optional.empty();
         assertRuns(clock(nothing, CLOCK_MONOTONIC));
-        assertRuns(clock(Linker.nativeLinker().defaultLookup(), NO_CLOCK));
+        assertRuns(clock(Linker.nativeLinker().defaultLookup(), UNKNOWN_CLOCK_ID));
     }
 }
