--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeyEntry.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeyEntry.java
@@ -102,7 +102,7 @@
         return slot;
     }
 
-    long notedAt()
+    long createdAt()
     {
         return createdAt;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeySlot.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeySlot.java
@@ -102,7 +102,7 @@
         moving = value;
     }
 
-    boolean hasUnfinished()
+    boolean hasUnfinishedRequests()
     {
         return entries.values().stream().anyMatch(entry -> !entry.answer().isDone());
     }
@@ -112,7 +112,7 @@
         List<KeyEntry> expired = new ArrayList<>();
         for (KeyEntry entry : entries.values())
         {
-            if (entry.notedAt() < time && entry.answer().isDone())
+            if (entry.createdAt() < time && entry.answer().isDone())
             {
                 expired.add(entry);
             }
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeyTable.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeyTable.java
@@ -201,7 +201,8 @@
      */
     public synchronized List<Integer> idleSlots(Collection<Integer> numbers)
     {
-        return numbers.stream().filter(n -> slots.containsKey(n) && !slots.get(n).hasUnfinished()).toList();
+        return numbers.stream().filter(n -> slots.containsKey(n) && !slots.get(n).hasUnfinishedRequests())
+                .toList();
     }
 
     /**
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/StoreLiveness.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/StoreLiveness.java
@@ -36,15 +36,18 @@
         public static final Contact NONE = new Contact("", 0, NEVER);
     }
 
-    /** A contact and its latest possible time on the monotonic clock. */
-    private record DatedContact(long number, long latestNanos)
+    /**
+     * The newest known answer of the store to a box, with its latest possible time on the monotonic
+     * clock.
+     */
+    private record Answer(long number, long at)
     {
     }
 
     private final String self;
     private final LongSupplier nanoTime;
     private final long originNanos;
-    private final Map<String, DatedContact> contactsByBox = new HashMap<>();
+    private final Map<String, Answer> contactsByBox = new HashMap<>();
 
     /**
      * @param self the id of this box
@@ -60,8 +63,8 @@
     /** Records that the store answered this box. */
     public synchronized void recordContact()
     {
-        DatedContact last = contactsByBox.get(self);
-        contactsByBox.put(self, new DatedContact(last == null ? 1 : last.number() + 1, nanoTime.getAsLong()));
+        Answer last = contactsByBox.get(self);
+        contactsByBox.put(self, new Answer(last == null ? 1 : last.number() + 1, nanoTime.getAsLong()));
     }
 
     /**
@@ -78,38 +81,38 @@
             return lastContactNanos();
         }
         long latestNanos = nanoTime.getAsLong() - TimeUnit.MILLISECONDS.toNanos(contact.ageMillis());
-        DatedContact known = contactsByBox.get(contact.box());
+        Answer known = contactsByBox.get(contact.box());
         if (known == null || contact.number() > known.number())
         {
             evictOld();
-            contactsByBox.put(contact.box(), new DatedContact(contact.number(), latestNanos));
+            contactsByBox.put(contact.box(), new Answer(contact.number(), latestNanos));
             return latestNanos;
         }
-        if (contact.number() == known.number() && known.latestNanos() - latestNanos > 0)
+        if (contact.number() == known.number() && known.at() - latestNanos > 0)
         {
-            contactsByBox.put(contact.box(), new DatedContact(contact.number(), latestNanos));
+            contactsByBox.put(contact.box(), new Answer(contact.number(), latestNanos));
             return latestNanos;
         }
-        return known.latestNanos();
+        return known.at();
     }
 
     /** @return the time of the newest known store contact, on the monotonic clock */
     public synchronized long lastContactNanos()
     {
-        return newestContact().map(entry -> entry.getValue().latestNanos()).orElse(originNanos);
+        return newestContact().map(entry -> entry.getValue().at()).orElse(originNanos);
     }
 
     /** @return the newest known store contact, as sent to peers */
     public synchronized Contact lastContact()
     {
         return newestContact().map(entry -> new Contact(entry.getKey(), entry.getValue().number(),
-                ageMillis(entry.getValue().latestNanos()))).orElse(Contact.NONE);
+                ageMillis(entry.getValue().at()))).orElse(Contact.NONE);
     }
 
-    private Optional<Map.Entry<String, DatedContact>> newestContact()
+    private Optional<Map.Entry<String, Answer>> newestContact()
     {
         return contactsByBox.entrySet().stream()
-                .max(Comparator.comparingLong(entry -> entry.getValue().latestNanos() - originNanos));
+                .max(Comparator.comparingLong(entry -> entry.getValue().at() - originNanos));
     }
 
     private long ageMillis(long nanos)
@@ -120,6 +123,6 @@
     private void evictOld()
     {
         long now = nanoTime.getAsLong();
-        contactsByBox.values().removeIf(contact -> now - contact.latestNanos() > RETENTION_NANOS);
+        contactsByBox.values().removeIf(contact -> now - contact.at() > RETENTION_NANOS);
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/TakeoverGuard.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/TakeoverGuard.java
@@ -54,7 +54,7 @@
         this.events = events;
     }
 
-    /** Discards all observations, since the store didn't answer. */
+    /** Discards all observations, since the store did not answer. */
     void reset()
     {
         missingBoxes.clear();
--- a/gaugehollow/src/main/java/org/gaugehollow/peer/PeerLink.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/peer/PeerLink.java
@@ -68,7 +68,7 @@
      */
     public Frame call(Frame.Builder call, long timeoutMillis) throws InterruptedException
     {
-        Channel connection = awaitConnection();
+        Channel channel = awaitConnection();
         long id = lastCallId.incrementAndGet();
         CompletableFuture<Frame> reply = new CompletableFuture<>();
         pendingCalls.put(id, reply);
@@ -76,7 +76,7 @@
         {
             Frame frame = call.setCallId(id).setHybridTime(events.clock().next()).build();
             metrics.peerBytes().labelValues(frame.getBodyCase().name()).inc(frame.getSerializedSize());
-            if (!connection.writeAndFlush(frame).await().isSuccess())
+            if (!channel.writeAndFlush(frame).await().isSuccess())
             {
                 throw new GaugehollowException(ResultCode.PEER_LOST,
                         "the connection was lost while sending a call");
--- a/gaugehollow/src/main/java/org/gaugehollow/time/SteadyClock.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/time/SteadyClock.java
@@ -25,7 +25,8 @@
     private static final long READ_FAILED = -1;
 
     /**
-     * Static and final so that the JIT can inline calls; null if the system does not have this clock.
+     * A constant, so that the JIT compiles calls through it; null if the system does not have this
+     * clock.
      */
     private static final MethodHandle BOOT_TIME_FUNCTION = findFunction(Linker.nativeLinker().defaultLookup(),
             CLOCK_BOOTTIME);
