--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceBudget.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceBudget.java
@@ -9,54 +9,59 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * For how many tasks advice is asked for in one round of decisions, so that a long queue does not
- * ask for more than workers can take.
+ * Limits the number of tasks for which advice is requested in one planning round, so that a long
+ * queue requests no more advice than the workers can use.
  */
 final class AdviceBudget
 {
-    /** Asks for nothing. */
+    /** Allows no requests. */
     static final AdviceBudget NONE = new AdviceBudget(ComputeResources.NONE, ComputeResources.NONE);
 
     private ComputeResources free;
-    private ComputeResources held;
+    private ComputeResources capacity;
 
-    private AdviceBudget(ComputeResources free, ComputeResources held)
+    private AdviceBudget(ComputeResources free, ComputeResources capacity)
     {
         this.free = free;
-        this.held = held;
+        this.capacity = capacity;
     }
 
-    /** What workers that accept tasks have free, and what they hold in all. */
+    /** Returns a budget from the free and total capacity of workers that accept tasks. */
     static AdviceBudget of(Collection<TrackedWorker> workers)
     {
         ComputeResources free = ComputeResources.NONE;
-        ComputeResources held = ComputeResources.NONE;
-        for (TrackedWorker slot : workers)
+        ComputeResources capacity = ComputeResources.NONE;
+        for (TrackedWorker worker : workers)
         {
-            free = free.plus(slot.free());
-            held = held.plus(slot.entry().capacity());
+            free = free.plus(worker.free());
+            capacity = capacity.plus(worker.entry().capacity());
         }
-        return new AdviceBudget(free, held);
+        return new AdviceBudget(free, capacity);
     }
 
-    /** Whether a step may ask because its tasks could start now. */
+    /**
+     * Returns whether a step may request advice for tasks that could start now, and consumes its share.
+     */
     boolean acquireForFreeCapacity(Step step)
     {
         boolean fits = free.fits(step.needs());
-        free = fits ? free.minusClamped(ofWaiting(step)) : free;
+        free = fits ? free.minusClamped(waitingNeeds(step)) : free;
         return fits;
     }
 
-    /** Whether a step may ask ahead of room that is to come. */
+    /**
+     * Returns whether a step may request advice for capacity that is freed later, and consumes its
+     * share.
+     */
     boolean acquireForPrefetch(Step step)
     {
-        boolean fits = held.fits(step.needs());
-        held = fits ? held.minusClamped(ofWaiting(step)) : held;
+        boolean fits = capacity.fits(step.needs());
+        capacity = fits ? capacity.minusClamped(waitingNeeds(step)) : capacity;
         return fits;
     }
 
-    private static ComputeResources ofWaiting(Step step)
+    private static ComputeResources waitingNeeds(Step step)
     {
-        return step.needs().times(step.waiting().size());
+        return step.needs().times(step.waitingTasks().size());
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceCandidates.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceCandidates.java
@@ -13,95 +13,99 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * Decides which workers a call for advice asks about. Answers the load of a busy cell, in which few
- * workers have room: asked about the first hundred that are listed, the service needs twice as long
- * as an objective allows for, and most of its answer is of no use. Workers that have room come
- * first, in an order of the step's own, so that steps that ask at the same time do not crowd on the
- * same ones; and only as many as the waiting tasks should need. On a played day with 245 workers 95
- * of 100 jobs had their first start within 2.7 s in place of 20.3 s (one run each).
+ * Selects the workers that an advice call asks about. Workers with free capacity come first, in an
+ * order specific to the step so that concurrent calls spread over different workers. The number is
+ * limited to what the waiting tasks are expected to need, because long calls would delay steps
+ * beyond their objective.
  */
 final class AdviceCandidates
 {
-    /** The users count one call on so many workers into a step's objective. */
-    private static final int FEWEST = 30;
-    /** The service takes no more at once. */
-    private static final int MOST = 100;
-    /** Of workers that were not asked about, so many may run a step, at a cautious guess. */
-    private static final double LIKELY_SHARE = 0.35;
-    /** Room for other steps that start on the same workers meanwhile. */
-    private static final double SPARE = 1.5;
+    /** Number of workers in a typical call, for which the objective of a step allows time. */
+    private static final int MIN_WORKERS = 30;
+    /** Maximum number of workers per call that the service accepts. */
+    private static final int MAX_WORKERS = 100;
+    /** Assumed share of workers without known advice that may run a step. */
+    private static final double EXPECTED_ALLOWED_SHARE = 0.35;
+    /** Factor that accounts for other steps starting on the same workers in the meantime. */
+    private static final double CONTENTION_FACTOR = 1.5;
 
     private final Step step;
-    private final Set<String> healthy;
+    private final Set<String> allowedWorkers;
 
     /**
+     * Creates the selection for a step.
+     *
      * @param step the step
-     * @param healthy the lives of workers that are known to be allowed for it
+     * @param allowedWorkers the incarnations of workers that are known to be allowed for it
      */
-    AdviceCandidates(Step step, Set<String> healthy)
+    AdviceCandidates(Step step, Set<String> allowedWorkers)
     {
         this.step = step;
-        this.healthy = healthy;
+        this.allowedWorkers = allowedWorkers;
     }
 
     /**
-     * A worker, how many of the step's tasks it has room for now, and its place in the step's order.
+     * A worker with the number of the step's tasks that fit on it now and its rank in the step's order.
      */
-    private record Candidate(TrackedWorker slot, int room, int place)
+    private record Candidate(TrackedWorker worker, int taskCapacity, int order)
     {
     }
 
     /**
-     * @param workers workers that may be asked about
-     * @return those that are
+     * Chooses the workers to ask about.
+     *
+     * @param workers the candidates
+     * @return the chosen workers, in descending preference
      */
     List<TrackedWorker> choose(Collection<TrackedWorker> workers)
     {
         List<Candidate> candidates = new ArrayList<>();
-        for (TrackedWorker slot : workers)
+        for (TrackedWorker worker : workers)
         {
-            candidates.add(new Candidate(slot, room(slot), (step.name() + slot.id()).hashCode()));
+            candidates
+                    .add(new Candidate(worker, taskCapacity(worker), (step.name() + worker.id()).hashCode()));
         }
-        candidates.sort(Comparator.comparing((Candidate candidate) -> candidate.room() == 0)
-                .thenComparing(candidate -> !isNear(candidate.slot()))
-                .thenComparing(candidate -> !healthy.contains(candidate.slot().id()))
-                .thenComparingInt(Candidate::place));
-        return takeEnough(candidates);
+        candidates.sort(Comparator.comparing((Candidate candidate) -> candidate.taskCapacity() == 0)
+                .thenComparing(candidate -> !isInPreferredRack(candidate.worker()))
+                .thenComparing(candidate -> !allowedWorkers.contains(candidate.worker().id()))
+                .thenComparingInt(Candidate::order));
+        return selectEnough(candidates);
     }
 
-    private List<TrackedWorker> takeEnough(List<Candidate> candidates)
+    private List<TrackedWorker> selectEnough(List<Candidate> candidates)
     {
-        double wanted = step.waiting().size() * SPARE;
+        double wanted = step.waitingTasks().size() * CONTENTION_FACTOR;
         double expected = 0;
         List<TrackedWorker> chosen = new ArrayList<>();
         for (Candidate candidate : candidates)
         {
-            boolean enough = expected >= wanted && chosen.size() >= FEWEST;
-            if (enough || chosen.size() == MOST)
+            boolean enough = expected >= wanted && chosen.size() >= MIN_WORKERS;
+            if (enough || chosen.size() == MAX_WORKERS)
             {
                 return chosen;
             }
-            TrackedWorker slot = candidate.slot();
-            chosen.add(slot);
-            // where none has room yet, each will have some in time
-            expected += Math.max(1, candidate.room()) * (healthy.contains(slot.id()) ? 1 : LIKELY_SHARE);
+            TrackedWorker worker = candidate.worker();
+            chosen.add(worker);
+            // workers without free capacity are expected to free some for one task
+            expected += Math.max(1, candidate.taskCapacity())
+                    * (allowedWorkers.contains(worker.id()) ? 1 : EXPECTED_ALLOWED_SHARE);
         }
         return chosen;
     }
 
-    private boolean isNear(TrackedWorker slot)
+    private boolean isInPreferredRack(TrackedWorker worker)
     {
         String rack = step.spec().affinity();
-        return rack != null && rack.equals(slot.entry().rack());
+        return rack != null && rack.equals(worker.entry().rack());
     }
 
-    /** How many tasks of the step a worker has room for now. */
-    private int room(TrackedWorker slot)
+    /** Returns the number of tasks of the step that fit on a worker now. */
+    private int taskCapacity(TrackedWorker worker)
     {
         ComputeResources needs = step.needs();
-        int most = step.spec().antiAffinity() > 0 ? step.spec().antiAffinity() : step.waiting().size();
+        int limit = step.spec().antiAffinity() > 0 ? step.spec().antiAffinity() : step.waitingTasks().size();
         int count = 0;
-        while (count < most && slot.free().fits(needs.times(count + 1)))
+        while (count < limit && worker.free().fits(needs.times(count + 1)))
         {
             count++;
         }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/CapacityReservations.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/CapacityReservations.java
@@ -10,17 +10,19 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * Room on workers that is kept for tasks whose start is near: the runs in their way end soon or
- * were stopped for them. Without it the room that comes free piece by piece would go to smaller
- * tasks. Guarded by the ledger's monitor.
+ * Free capacity on workers that is reserved for tasks about to start, because the runs occupying it
+ * end soon or were stopped for them. Reservations keep smaller tasks from taking capacity that is
+ * freed piece by piece. Guarded by the lock of the cell state.
  */
 final class CapacityReservations
 {
-    /** Room for one task of a step. */
-    private record Reservation(Step step, TrackedWorker slot, long endNanos)
+    /** Reserved capacity for one task of a step. */
+    private record Reservation(Step step, TrackedWorker worker, long expiryNanos)
     {
-        /** Whether another step has to leave this room alone; more urgent queues need not. */
-        boolean binds(Step other)
+        /**
+         * Returns whether another step must respect this reservation; steps of more urgent queues need not.
+         */
+        boolean appliesTo(Step other)
         {
             return step != other && step.job().queue().priority() <= other.job().queue().priority();
         }
@@ -28,33 +30,35 @@
 
     private final List<Reservation> reservations = new ArrayList<>();
 
-    /** Keeps room for one more task of a step until then at the latest. */
-    void add(Step step, TrackedWorker slot, long endNanos)
+    /** Reserves capacity for one more task of a step until the given time. */
+    void add(Step step, TrackedWorker worker, long endNanos)
     {
-        reservations.add(new Reservation(step, slot, endNanos));
+        reservations.add(new Reservation(step, worker, endNanos));
     }
 
-    /** Drops what has run out, and what its job or its worker has no use for any more. */
+    /**
+     * Removes reservations that have expired or whose job has ended or whose worker accepts no starts.
+     */
     void removeExpired(long nowNanos)
     {
-        reservations.removeIf(reservation -> nowNanos - reservation.endNanos >= 0
-                || !reservation.slot.acceptsStarts() || reservation.step.job().state().isFinal());
+        reservations.removeIf(reservation -> nowNanos - reservation.expiryNanos >= 0
+                || !reservation.worker.acceptsStarts() || reservation.step.job().state().isFinal());
     }
 
-    /** A task of a step was started on a worker: one of the step's reservations is used up. */
-    void use(Step step, TrackedWorker slot)
+    /** Consumes one reservation of a step after one of its tasks was started on a worker. */
+    void consume(Step step, TrackedWorker worker)
     {
-        if (!dropOne(step, slot))
+        if (!removeOne(step, worker))
         {
-            dropSurplus(step);
+            removeSurplus(step);
         }
     }
 
-    private boolean dropOne(Step step, TrackedWorker slot)
+    private boolean removeOne(Step step, TrackedWorker worker)
     {
         for (Reservation reservation : reservations)
         {
-            if (reservation.step == step && reservation.slot == slot)
+            if (reservation.step == step && reservation.worker == worker)
             {
                 return reservations.remove(reservation);
             }
@@ -62,9 +66,9 @@
         return false;
     }
 
-    private void dropSurplus(Step step)
+    private void removeSurplus(Step step)
     {
-        int waiting = step.waiting().size();
+        int waiting = step.waitingTasks().size();
         for (int i = reservations.size() - 1; i >= 0 && countOf(step) > waiting; i--)
         {
             if (reservations.get(i).step == step)
@@ -74,26 +78,26 @@
         }
     }
 
-    /** How many tasks of a step have room kept for them. */
+    /** Returns the number of reservations of a step. */
     int countOf(Step step)
     {
         return (int) reservations.stream().filter(reservation -> reservation.step == step).count();
     }
 
-    /** How many tasks of a step have room kept for them on a worker. */
-    int countOf(Step step, TrackedWorker slot)
+    /** Returns the number of reservations of a step on a worker. */
+    int countOf(Step step, TrackedWorker worker)
     {
         return (int) reservations.stream()
-                .filter(reservation -> reservation.step == step && reservation.slot == slot).count();
+                .filter(reservation -> reservation.step == step && reservation.worker == worker).count();
     }
 
-    /** What a step has to leave alone on a worker. */
-    ComputeResources reservedAgainst(Step step, TrackedWorker slot)
+    /** Returns the capacity reserved on a worker that a step must leave free. */
+    ComputeResources reservedAgainst(Step step, TrackedWorker worker)
     {
         ComputeResources sum = ComputeResources.NONE;
         for (Reservation reservation : reservations)
         {
-            if (reservation.slot == slot && reservation.binds(step))
+            if (reservation.worker == worker && reservation.appliesTo(step))
             {
                 sum = sum.plus(reservation.step.needs());
             }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Evacuation.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Evacuation.java
@@ -7,36 +7,37 @@
 import org.gaugehollow.worker.WorkerEntry;
 
 /**
- * Takes tasks off workers that are about to leave: long-running ones at once, a few of each step at
- * a time, and others if they cannot end in the time that is left.
+ * Moves tasks off draining workers: long-running tasks at once, limited per step, and other tasks
+ * if they cannot end in the remaining time.
  */
 final class Evacuation
 {
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    private final CellState ledger;
+    private final CellState cellState;
 
-    Evacuation(CellState ledger)
+    Evacuation(CellState cellState)
     {
-        this.ledger = ledger;
+        this.cellState = cellState;
     }
 
-    /** Stops what has to move now. */
+    /** Stops the runs that must move now. */
     Effects evacuate(long nowNanos)
     {
         Effects effects = new Effects();
-        for (TrackedWorker slot : ledger.workers())
+        for (TrackedWorker worker : cellState.workers())
         {
-            WorkerEntry entry = slot.entry();
+            WorkerEntry entry = worker.entry();
             if (entry != null && entry.draining())
             {
-                slot.tasks().stream().filter(task -> mustMove(task, slot, nowNanos)).forEach(effects::stop);
+                worker.tasks().stream().filter(task -> mustMove(task, worker, nowNanos))
+                        .forEach(effects::stop);
             }
         }
         return effects;
     }
 
-    private static boolean mustMove(Task task, TrackedWorker slot, long nowNanos)
+    private static boolean mustMove(Task task, TrackedWorker worker, long nowNanos)
     {
         if (task.phase() != Task.Phase.RUNNING || task.step().spec().gang())
         {
@@ -44,14 +45,14 @@
         }
         if (task.step().spec().longRunning())
         {
-            return task.step().countAway() < Math.max(1, task.step().spec().mayMiss());
+            return task.step().countNotRunning() < Math.max(1, task.step().spec().mayMiss());
         }
-        long remaining = slot.entry().remainingMillis();
-        if (remaining < 0)
+        long remainingMillis = worker.entry().remainingMillis();
+        if (remainingMillis < 0)
         {
             return false;
         }
-        long left = remaining - (nowNanos - slot.listedNanos()) / NANOS_PER_MILLI;
-        return task.millisToEnd(nowNanos) > left;
+        long leftMillis = remainingMillis - (nowNanos - worker.listedNanos()) / NANOS_PER_MILLI;
+        return task.remainingMillis(nowNanos) > leftMillis;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Job.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Job.java
@@ -16,46 +16,46 @@
 import org.gaugehollow.job.QueueSpec;
 import org.gaugehollow.job.StepSpec;
 
-/** One accepted job in the owner's memory. Guarded by the ledger's lock. */
+/** An accepted job in the owner's memory. Guarded by the lock of the cell state. */
 final class Job
 {
-    /** A job that takes more than this many times its objective is of no worth any more. */
-    private static final int LATE_FACTOR = 3;
-    /** A step's chain of work holds one call for advice on so many workers, as the users count it. */
-    private static final int USUAL_WORKERS = 30;
-    /** Room for estimates that are too low. */
-    private static final double ESTIMATE_ROOM = 1.5;
+    /** Multiple of its objective after which a job no longer benefits from planning ahead of others. */
+    private static final int MAX_LATE_FACTOR = 3;
+    /** Number of workers in a typical advice call, used to estimate the duration of the call. */
+    private static final int TYPICAL_ADVICE_WORKERS = 30;
+    /** Factor by which the actual duration may exceed the estimates. */
+    private static final double ESTIMATE_TOLERANCE = 1.5;
 
     private final JobRecord record;
-    private final long chainMillis;
+    private final long criticalPathMillis;
     private final long acceptedRevision;
-    /** Whether it has no objective of its own: it has due times or runs until it is cancelled. */
-    private final boolean isOpen;
+    /** Whether the job has due times or runs until it is cancelled, and so has no objective. */
+    private final boolean openEnded;
     private final TreeMap<Integer, List<Step>> rounds = new TreeMap<>();
     private boolean beyondWeight;
     private JobState state = JobState.QUEUED;
     private QueueSpec queue;
-    private long changes;
-    private long changesInWrite;
-    private long changesWritten;
+    private long changeCount;
+    private long changeCountInWrite;
+    private long writtenChangeCount;
 
     Job(JobRecord record, long acceptedRevision)
     {
         this.record = record;
         this.acceptedRevision = acceptedRevision;
         this.queue = record.queue();
-        this.chainMillis = chainMillis(record.job().steps(), step -> false);
-        this.isOpen = record.job().repeatCount() > 0
+        this.criticalPathMillis = criticalPathMillis(record.job().steps(), step -> false);
+        this.openEnded = record.job().repeatCount() > 0
                 || record.job().steps().stream().anyMatch(StepSpec::longRunning);
     }
 
-    /** The steps of a repetition, made when they are first asked for. */
+    /** Returns the steps of a repetition, which are created on first use. */
     List<Step> round(int number)
     {
-        return rounds.computeIfAbsent(number, this::makeRound);
+        return rounds.computeIfAbsent(number, this::createRound);
     }
 
-    private List<Step> makeRound(int number)
+    private List<Step> createRound(int number)
     {
         List<Step> steps = new ArrayList<>();
         for (int i = 0; i < record.job().steps().size(); i++)
@@ -65,16 +65,16 @@
         return steps;
     }
 
-    /** Makes the repetitions that are due, in milliseconds since 1970. */
+    /** Creates the repetitions that are due at the given time, in milliseconds since 1970. */
     void beginDueRounds(long wallMillis)
     {
-        for (int k = rounds.size(); k < record.job().rounds(); k++)
+        for (int round = rounds.size(); round < record.job().rounds(); round++)
         {
-            if (wallMillis < dueMillis(k))
+            if (wallMillis < dueMillis(round))
             {
                 return;
             }
-            round(k);
+            round(round);
         }
     }
 
@@ -86,80 +86,83 @@
     }
 
     /**
-     * Whether the job is so late that nothing is gained by hurrying it any more. Jobs with due times
-     * and long-running ones never are.
+     * Returns whether the job is so late that hurrying it brings no benefit. Never true for
+     * long-running jobs or jobs with due times.
      */
     boolean isTooLate(long wallMillis)
     {
-        return !isOpen && wallMillis - record.acceptedMillis() > LATE_FACTOR * latestObjectiveMillis();
+        return !openEnded
+                && wallMillis - record.acceptedMillis() > MAX_LATE_FACTOR * tolerantObjectiveMillis();
     }
 
-    /** Its objective where its estimates are as much too low as may be. */
-    private long latestObjectiveMillis()
+    /**
+     * Returns the objective under the assumption that the estimates are too low by the tolerated
+     * factor.
+     */
+    private long tolerantObjectiveMillis()
     {
-        return objectiveMillis((long) (ESTIMATE_ROOM * chainMillis));
+        return objectiveMillis((long) (ESTIMATE_TOLERANCE * criticalPathMillis));
     }
 
-    private long objectiveMillis(long chain)
+    private long objectiveMillis(long criticalPath)
     {
-        return queue.targetMillis() + (long) (queue.stretch() * chain);
+        return queue.targetMillis() + (long) (queue.stretch() * criticalPath);
     }
 
     /**
-     * How much longer than the rest of its steps the job may take from now on and still meet its
-     * objective, in milliseconds; negative if it cannot. A step that is not done counts whole.
+     * Returns the delay that the job can take from now on and still meet its objective, in
+     * milliseconds; negative if it cannot meet it. Steps that are not done count with their whole
+     * estimate.
      */
-    long spareMillis(long wallMillis)
+    long slackMillis(long wallMillis)
     {
-        return record.acceptedMillis() + objectiveMillis(chainMillis) - restMillis() - wallMillis;
+        return record.acceptedMillis() + objectiveMillis(criticalPathMillis) - remainingMillis() - wallMillis;
     }
 
-    /**
-     * How much longer than its chain of steps the job may take from its acceptance, in milliseconds.
-     */
-    long wholeSpareMillis()
+    /** Returns the delay that the job could take at its acceptance, in milliseconds. */
+    long initialSlackMillis()
     {
-        return objectiveMillis(chainMillis) - chainMillis;
+        return objectiveMillis(criticalPathMillis) - criticalPathMillis;
     }
 
     /**
-     * Whether the job can surely no longer meet its objective, also where its estimates are too low.
-     * Jobs with due times and long-running ones always can.
+     * Returns whether the job will miss its objective even if its estimates are too low. Never true for
+     * long-running jobs or jobs with due times.
      */
-    boolean isOverdue(long wallMillis)
+    boolean willMissObjective(long wallMillis)
     {
-        long latest = record.acceptedMillis() + latestObjectiveMillis();
-        return !isOpen && wallMillis + restMillis() > latest;
+        long deadlineMillis = record.acceptedMillis() + tolerantObjectiveMillis();
+        return !openEnded && wallMillis + remainingMillis() > deadlineMillis;
     }
 
-    /** The longest chain of the steps that are not done, by their estimates. */
-    private long restMillis()
+    /** Returns the estimated critical path of the steps that are not done. */
+    private long remainingMillis()
     {
         List<Step> steps = round(0);
-        return chainMillis(record.job().steps(), step -> steps.get(step).isDone());
+        return criticalPathMillis(record.job().steps(), step -> steps.get(step).isDone());
     }
 
-    /** The longest chain of steps by their estimates, some of them left out. */
-    private long chainMillis(List<StepSpec> steps, IntPredicate isLeftOut)
+    /** Returns the estimated critical path of the steps, without those excluded. */
+    private long criticalPathMillis(List<StepSpec> steps, IntPredicate isExcluded)
     {
         long[] ends = new long[steps.size()];
-        long adviceMillis = (long) queue.adviceIfNeeded().map(advice -> advice.expectedMillis(USUAL_WORKERS))
-                .orElse(0.0).doubleValue();
+        long adviceMillis = (long) queue.adviceIfNeeded()
+                .map(advice -> advice.expectedMillis(TYPICAL_ADVICE_WORKERS)).orElse(0.0).doubleValue();
         long longest = 0;
         for (int i = 0; i < ends.length; i++)
         {
-            long begin = 0;
-            for (int earlier : steps.get(i).dependsOn())
+            long start = 0;
+            for (int dependency : steps.get(i).dependsOn())
             {
-                begin = Math.max(begin, ends[earlier]);
+                start = Math.max(start, ends[dependency]);
             }
-            ends[i] = begin + (isLeftOut.test(i) ? 0 : steps.get(i).estimateMillis() + adviceMillis);
+            ends[i] = start + (isExcluded.test(i) ? 0 : steps.get(i).estimateMillis() + adviceMillis);
             longest = Math.max(longest, ends[i]);
         }
         return longest;
     }
 
-    /** The steps with tasks that wait for a start and whose turn has come. */
+    /** Returns the steps with waiting tasks whose dependencies are done. */
     List<Step> waitingSteps()
     {
         List<Step> waiting = new ArrayList<>();
@@ -176,12 +179,12 @@
         return waiting;
     }
 
-    /** Whether all tasks of the steps that a step waits for have ended well. */
+    /** Returns whether all dependencies of a step are done. */
     private static boolean isReady(Step step, List<Step> round)
     {
-        for (int earlier : step.spec().dependsOn())
+        for (int dependency : step.spec().dependsOn())
         {
-            if (!round.get(earlier).isDone())
+            if (!round.get(dependency).isDone())
             {
                 return false;
             }
@@ -201,10 +204,10 @@
         {
             return new JobProgress(record.queue().name(), state, null, record.customer());
         }
-        List<RoundProgress> all = new ArrayList<>();
-        rounds.values()
-                .forEach(steps -> all.add(new RoundProgress(steps.stream().map(Step::progress).toList())));
-        return new JobProgress(record.queue().name(), state, all, record.customer());
+        List<RoundProgress> roundProgress = new ArrayList<>();
+        rounds.values().forEach(
+                steps -> roundProgress.add(new RoundProgress(steps.stream().map(Step::progress).toList())));
+        return new JobProgress(record.queue().name(), state, roundProgress, record.customer());
     }
 
     List<Step> steps()
@@ -212,13 +215,13 @@
         return rounds.values().stream().flatMap(List::stream).toList();
     }
 
-    /** Whether it is over and nothing of it may run any more. */
+    /** Returns whether the job has ended and no run of it may still exist. */
     boolean isFinished()
     {
         return state.isFinal() && occupying().isEmpty();
     }
 
-    /** The tasks that take room somewhere. */
+    /** Returns the tasks that occupy a worker. */
     List<Task> occupying()
     {
         return steps().stream().flatMap(step -> step.tasks().stream()).filter(Task::occupies).toList();
@@ -235,37 +238,37 @@
         return name.index() < tasks.size() ? tasks.get(name.index()) : null;
     }
 
-    /** Its progress has changed in a way that the store has to know. */
+    /** Records a change of the progress that must be stored. */
     void changed()
     {
-        changes++;
+        changeCount++;
     }
 
-    /** Its progress as it stands is about to be written. */
+    /** Marks the current progress as being written. */
     void beginWrite()
     {
-        changesInWrite = changes;
+        changeCountInWrite = changeCount;
     }
 
-    /** The store has the progress whose write began last. */
+    /** Marks the progress of the latest write as stored. */
     void endWrite()
     {
-        changesWritten = changesInWrite;
+        writtenChangeCount = changeCountInWrite;
     }
 
-    /** Whether the store may lack a change of its progress. */
+    /** Returns whether the store may lack a change of the progress. */
     boolean isUnwritten()
     {
-        return changesWritten < changes;
+        return writtenChangeCount < changeCount;
     }
 
-    /** Whether it has due times or runs until it is cancelled. */
-    boolean isOpen()
+    /** Returns whether the job has due times or runs until it is cancelled. */
+    boolean isOpenEnded()
     {
-        return isOpen;
+        return openEnded;
     }
 
-    /** Whether its customer sent it beyond its weight. */
+    /** Returns whether the job exceeds its customer's weight. */
     boolean isBeyondWeight()
     {
         return beyondWeight;
@@ -276,9 +279,9 @@
         beyondWeight = value;
     }
 
-    void setQueue(QueueSpec newest)
+    void setQueue(QueueSpec newQueue)
     {
-        queue = newest;
+        queue = newQueue;
     }
 
     void setState(JobState newState)
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/JobOrder.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/JobOrder.java
@@ -9,16 +9,16 @@
 import java.util.Comparator;
 import java.util.List;
 
-/** In which order jobs have their turn. */
+/** Defines the order in which jobs are planned. */
 final class JobOrder
 {
-    private static final Comparator<Turn> FIRST_TURN_FIRST = Comparator.comparing(Turn::tooLate)
-            .thenComparing(turn -> turn.job().isBeyondWeight())
-            .thenComparingInt(turn -> turn.job().queue().priority()).thenComparing(Turn::overdue)
-            .thenComparingLong(turn -> turn.job().acceptedRevision());
+    private static final Comparator<RankedJob> BY_URGENCY = Comparator.comparing(RankedJob::tooLate)
+            .thenComparing(ranked -> ranked.job().isBeyondWeight())
+            .thenComparingInt(ranked -> ranked.job().queue().priority()).thenComparing(RankedJob::overdue)
+            .thenComparingLong(ranked -> ranked.job().acceptedRevision());
 
-    /** What a job's turn depends on beside its queue and its age. */
-    private record Turn(Job job, boolean tooLate, boolean overdue)
+    /** A job with the sort keys that depend on the current time. */
+    private record RankedJob(Job job, boolean tooLate, boolean overdue)
     {
     }
 
@@ -27,16 +27,16 @@
     }
 
     /**
-     * The jobs that have a task whose turn has come: those that are not too late first, among them what
-     * customers sent within their weights, then the most urgent queue, and within it those that can
-     * still meet their objective, the earliest first.
+     * Returns the jobs with tasks that are ready to start, in planning order: jobs that are not yet too
+     * late first, then jobs within their customer's weight, then by queue priority, then jobs that can
+     * still meet their objective, then by age.
      *
-     * @param jobs jobs, over or not
-     * @param wallMillis the time of day, in milliseconds since 1970
+     * @param jobs jobs, ended or not
+     * @param wallMillis the wall-clock time, in milliseconds since 1970
      */
     static List<Job> waiting(Collection<Job> jobs, long wallMillis)
     {
-        List<Turn> turns = new ArrayList<>();
+        List<RankedJob> ranked = new ArrayList<>();
         for (Job job : jobs)
         {
             if (!job.state().isFinal())
@@ -44,11 +44,12 @@
                 job.beginDueRounds(wallMillis);
                 if (!job.waitingSteps().isEmpty())
                 {
-                    turns.add(new Turn(job, job.isTooLate(wallMillis), job.isOverdue(wallMillis)));
+                    ranked.add(
+                            new RankedJob(job, job.isTooLate(wallMillis), job.willMissObjective(wallMillis)));
                 }
             }
         }
-        turns.sort(FIRST_TURN_FIRST);
-        return turns.stream().map(Turn::job).toList();
+        ranked.sort(BY_URGENCY);
+        return ranked.stream().map(RankedJob::job).toList();
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Planner.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Planner.java
@@ -17,31 +17,31 @@
 import org.gaugehollow.worker.WorkerEntry;
 
 /**
- * Decides which waiting tasks start where. Jobs have their turns by {@link JobOrder}; each task
- * takes the worker with the best score among those that may run it and have room.
+ * Assigns waiting tasks to workers. Jobs are processed in the order of {@link JobOrder}; each task
+ * gets the eligible worker with sufficient free capacity and the best rating.
  */
 final class Planner
 {
     /**
-     * A start that was decided.
+     * A planned start of a task.
      *
      * @param task the task
-     * @param run the run to start
+     * @param run the number of the run to start
      * @param slot the worker
-     * @param checkpoint the saved state to go on from, or null
-     * @param ticket the advice service's ticket, or null
+     * @param checkpoint the checkpoint to resume from, or null
+     * @param ticket the ticket of the advice service, or null
      */
     record Start(Task task, int run, TrackedWorker slot, String checkpoint, String ticket)
     {
     }
 
     /**
-     * What one round of decisions brought.
+     * Result of one planning round.
      *
-     * @param starts the starts that were decided; their tasks are marked as ordered
-     * @param needAdvice steps that cannot start without newer advice
-     * @param madeRoom the runs that have to make room for more urgent steps
-     * @param atQuota the customers of which work waits for their quota, and what they have running
+     * @param starts the planned starts, whose tasks are already assigned
+     * @param needAdvice steps that need new advice before they can start
+     * @param preemptions the runs to stop for more urgent steps
+     * @param atQuota the compute resources in use, by customer whose work waits for its quota
      */
     record Plan(List<Start> starts, List<Step> needAdvice, List<PreemptionDecision> preemptions,
             Map<String, ComputeResources> atQuota)
@@ -49,64 +49,67 @@
     }
 
     /**
-     * Runs that are stopped for a step.
+     * Runs to stop for a step.
      *
-     * @param step the step that needs their room
+     * @param step the step that needs their compute resources
      * @param effects the stops
      */
     record PreemptionDecision(Step step, Effects effects)
     {
     }
 
-    /** Finds the ticket for a step on a worker. */
+    /** Provides the known advice for a step on a worker. */
     interface Tickets
     {
-        /** The valid ticket, if starts of the step need one and there is one. */
-        Optional<String> ticket(Step step, TrackedWorker slot);
+        /** Returns a valid ticket if the step requires one and it is known. */
+        Optional<String> ticket(Step step, TrackedWorker worker);
 
-        /** Whether the step is known not to be allowed on the worker. */
-        boolean isDenied(Step step, TrackedWorker slot);
+        /** Returns whether the advice service is known to deny the step on the worker. */
+        boolean isDenied(Step step, TrackedWorker worker);
 
-        /** Whether the step is known to be allowed on the worker, be there a valid ticket or not. */
-        boolean isAllowed(Step step, TrackedWorker slot);
+        /**
+         * Returns whether the advice service is known to allow the step on the worker, even if the ticket
+         * is no longer valid.
+         */
+        boolean isAllowed(Step step, TrackedWorker worker);
 
-        /** Whether the step's tickets last for longer than it takes to get newer ones. */
+        /** Returns whether the step's tickets remain valid for longer than a refresh takes. */
         boolean isFresh(Step step);
     }
 
-    private final CellState ledger;
+    private final CellState cellState;
     private final Tickets tickets;
     private final WorkerRating rating;
     private final CapacityReservations reservations = new CapacityReservations();
     private final Preemption preemption = new Preemption(reservations);
-    private AdviceBudget advice = AdviceBudget.NONE;
-    private QuotaUse quotas;
+    private AdviceBudget adviceBudget = AdviceBudget.NONE;
+    private QuotaUsage quotas;
     private List<TrackedWorker> accepting = List.of();
-    private ComputeResources mostFree = ComputeResources.NONE;
-    /** Workers on which nothing begins, because a suspect is on trial there. */
-    private Set<TrackedWorker> trials = Set.of();
+    private ComputeResources maxFree = ComputeResources.NONE;
+    /** Workers reserved for the isolated run of a suspect; no other task starts there. */
+    private Set<TrackedWorker> isolationWorkers = Set.of();
 
-    Planner(CellState ledger, Tickets tickets, WorkerScore score)
+    Planner(CellState cellState, Tickets tickets, WorkerScore score)
     {
-        this.ledger = ledger;
+        this.cellState = cellState;
         this.tickets = tickets;
         this.rating = new WorkerRating(score);
     }
 
-    /** Decides as many starts as there is room for. */
+    /** Plans as many starts as the free capacity allows. */
     Plan plan(long nowNanos, long wallMillis)
     {
         Plan plan = new Plan(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new HashMap<>());
-        trials = ledger.crashGuard().isolationWorkers();
-        accepting = ledger.workers().stream().filter(slot -> slot.acceptsStarts() && !trials.contains(slot))
-                .toList();
-        quotas = QuotaUse.of(ledger.config().customers(), ledger.workers());
-        mostFree = accepting.stream().map(TrackedWorker::free).reduce(ComputeResources.NONE,
+        isolationWorkers = cellState.crashGuard().isolationWorkers();
+        accepting = cellState.workers().stream()
+                .filter(worker -> worker.acceptsStarts() && !isolationWorkers.contains(worker)).toList();
+        quotas = QuotaUsage.of(cellState.config().customers(), cellState.workers());
+        maxFree = accepting.stream().map(TrackedWorker::free).reduce(ComputeResources.NONE,
                 ComputeResources::max);
-        advice = AdviceBudget.of(accepting);
+        adviceBudget = AdviceBudget.of(accepting);
         reservations.removeExpired(nowNanos);
-        preemption.begin(ledger, nowNanos, wallMillis);
-        for (Job job : ledger.waitingByUrgency(wallMillis))
+        preemption.beginRound(cellState, nowNanos, wallMillis);
+        for (Job job : cellState.waitingByUrgency(wallMillis))
         {
             for (Step step : job.waitingSteps())
             {
@@ -122,12 +125,12 @@
         {
             return;
         }
-        List<TrackedWorker> roomy = withRoom(step, nowNanos);
-        boolean advised = step.job().queue().adviceIfNeeded().isPresent();
-        List<TrackedWorker> usable = advised
-                ? roomy.stream().filter(slot -> tickets.ticket(step, slot).isPresent()).toList()
-                : roomy;
-        int before = plan.starts().size();
+        List<TrackedWorker> candidates = workersWithCapacity(step, nowNanos);
+        boolean needsTickets = step.job().queue().adviceIfNeeded().isPresent();
+        List<TrackedWorker> usable = needsTickets
+                ? candidates.stream().filter(worker -> tickets.ticket(step, worker).isPresent()).toList()
+                : candidates;
+        int startsBefore = plan.starts().size();
         if (step.spec().gang())
         {
             placeGang(step, usable, plan, nowNanos);
@@ -136,8 +139,8 @@
         {
             placeEach(step, usable, plan, nowNanos);
         }
-        boolean begun = plan.starts().size() > before;
-        if (begun && step.job().state() == JobState.QUEUED)
+        boolean hasStarted = plan.starts().size() > startsBefore;
+        if (hasStarted && step.job().state() == JobState.QUEUED)
         {
             step.job().setState(JobState.RUNNING);
         }
@@ -145,11 +148,11 @@
         {
             return;
         }
-        if (preemption.mayPreempt(step))
+        if (preemption.canPreempt(step))
         {
-            makeRoom(step, plan, nowNanos);
+            preemptFor(step, plan, nowNanos);
         }
-        if (advised && shouldAsk(step, roomy))
+        if (needsTickets && shouldRequestAdvice(step, candidates))
         {
             plan.needAdvice().add(step);
         }
@@ -166,10 +169,10 @@
         return waits;
     }
 
-    private void makeRoom(Step step, Plan plan, long nowNanos)
+    private void preemptFor(Step step, Plan plan, long nowNanos)
     {
-        List<TrackedWorker> allowed = possible(step, nowNanos).stream()
-                .filter(slot -> tickets.isAllowed(step, slot)).toList();
+        List<TrackedWorker> allowed = eligibleWorkers(step, nowNanos).stream()
+                .filter(worker -> tickets.isAllowed(step, worker)).toList();
         Effects effects = preemption.preempt(step, allowed);
         if (!effects.stops().isEmpty())
         {
@@ -178,85 +181,88 @@
     }
 
     /**
-     * Advice is asked for where a task could start now. Where none could, tickets are kept fresh, so
-     * that room can be made on the right workers and is not left idle for the time of a call once it is
-     * there.
+     * Returns whether to request advice for a step. Advice is requested if a task could start now;
+     * otherwise it is prefetched so that preemption selects allowed workers and freed capacity is used
+     * at once.
      */
-    private boolean shouldAsk(Step step, List<TrackedWorker> roomy)
+    private boolean shouldRequestAdvice(Step step, List<TrackedWorker> candidates)
     {
-        return hasRoomSomewhere(step, roomy) && advice.acquireForFreeCapacity(step)
-                || !tickets.isFresh(step) && advice.acquireForPrefetch(step);
+        return hasCapacityOnAny(step, candidates) && adviceBudget.acquireForFreeCapacity(step)
+                || !tickets.isFresh(step) && adviceBudget.acquireForPrefetch(step);
     }
 
     /**
-     * The workers that may run the step and have room for one of its tasks; avoided ones only if all
-     * that may run it are. Room is looked at first, since few workers of a busy cell have any, and none
-     * where not even the largest room suffices: a plan for 260 steps that wait beside 260 workers took
-     * 19 to 60 ms before and takes 11 to 28 ms (first-tier code, machine under load).
+     * Returns the eligible workers with free capacity for one task of the step; avoided workers only if
+     * all eligible workers are avoided. Capacity is checked first because it rules out most workers of
+     * a busy cell at low cost.
      */
-    private List<TrackedWorker> withRoom(Step step, long nowNanos)
+    private List<TrackedWorker> workersWithCapacity(Step step, long nowNanos)
     {
-        if (!mostFree.fits(step.needs()))
+        if (!maxFree.fits(step.needs()))
         {
             return List.of();
         }
-        List<TrackedWorker> fit = new ArrayList<>();
+        List<TrackedWorker> preferred = new ArrayList<>();
         List<TrackedWorker> avoided = new ArrayList<>();
-        for (TrackedWorker slot : accepting)
+        for (TrackedWorker worker : accepting)
         {
-            if (slot.free().fits(step.needs()) && mayRun(step, slot) && hasRoom(step, slot, 1))
+            if (worker.free().fits(step.needs()) && isEligible(step, worker) && hasCapacity(step, worker, 1))
             {
-                (slot.health().isAvoided(nowNanos) ? avoided : fit).add(slot);
+                (worker.health().isAvoided(nowNanos) ? avoided : preferred).add(worker);
             }
         }
-        boolean onlyAvoided = fit.isEmpty() && !avoided.isEmpty();
-        return onlyAvoided && areAllAvoided(step, nowNanos) ? avoided : fit;
+        boolean onlyAvoided = preferred.isEmpty() && !avoided.isEmpty();
+        return onlyAvoided && areAllAvoided(step, nowNanos) ? avoided : preferred;
     }
 
     private boolean areAllAvoided(Step step, long nowNanos)
     {
-        return possible(step, nowNanos).stream().allMatch(slot -> slot.health().isAvoided(nowNanos));
+        return eligibleWorkers(step, nowNanos).stream()
+                .allMatch(worker -> worker.health().isAvoided(nowNanos));
     }
 
-    /** The workers that may run the step whatever room they have now; avoided ones only if all are. */
-    private List<TrackedWorker> possible(Step step, long nowNanos)
+    /**
+     * Returns the eligible workers regardless of their free capacity; avoided workers only if all are
+     * avoided.
+     */
+    private List<TrackedWorker> eligibleWorkers(Step step, long nowNanos)
     {
-        List<TrackedWorker> fit = new ArrayList<>();
+        List<TrackedWorker> preferred = new ArrayList<>();
         List<TrackedWorker> avoided = new ArrayList<>();
-        for (TrackedWorker slot : accepting)
+        for (TrackedWorker worker : accepting)
         {
-            if (mayRun(step, slot))
+            if (isEligible(step, worker))
             {
-                (slot.health().isAvoided(nowNanos) ? avoided : fit).add(slot);
+                (worker.health().isAvoided(nowNanos) ? avoided : preferred).add(worker);
             }
         }
-        return fit.isEmpty() ? avoided : fit;
+        return preferred.isEmpty() ? avoided : preferred;
     }
 
-    private boolean mayRun(Step step, TrackedWorker slot)
+    private boolean isEligible(Step step, TrackedWorker worker)
     {
-        WorkerEntry entry = slot.entry();
-        boolean service = entry.service().equals(step.job().queue().service());
-        return service && step.hasLabel(entry) && !tickets.isDenied(step, slot);
+        WorkerEntry entry = worker.entry();
+        boolean offersService = entry.service().equals(step.job().queue().service());
+        return offersService && step.hasLabel(entry) && !tickets.isDenied(step, worker);
     }
 
-    private boolean hasRoomSomewhere(Step step, List<TrackedWorker> slots)
+    private boolean hasCapacityOnAny(Step step, List<TrackedWorker> workers)
     {
-        return slots.stream().anyMatch(slot -> hasRoom(step, slot, 1));
+        return workers.stream().anyMatch(worker -> hasCapacity(step, worker, 1));
     }
 
-    private boolean hasRoom(Step step, TrackedWorker slot, int tasks)
+    private boolean hasCapacity(Step step, TrackedWorker worker, int tasks)
     {
         ComputeResources needs = step.needs().times(tasks);
-        return step.mayAddTo(slot, tasks)
-                && slot.free().fits(needs.plus(reservations.reservedAgainst(step, slot)));
+        return step.canAddTo(worker, tasks)
+                && worker.free().fits(needs.plus(reservations.reservedAgainst(step, worker)));
     }
 
     private void placeEach(Step step, List<TrackedWorker> usable, Plan plan, long nowNanos)
     {
-        for (Task task : step.waiting())
+        for (Task task : step.waitingTasks())
         {
-            TrackedWorker best = quotas.allows(step, 1) ? best(task, usable, Map.of(), nowNanos) : null;
+            TrackedWorker best = quotas.allows(step, 1) ? bestWorker(task, usable, Map.of(), nowNanos) : null;
             if (best == null)
             {
                 return;
@@ -265,7 +271,7 @@
         }
     }
 
-    /** A gang starts whole or not at all, and only after nothing of its run before is left. */
+    /** Places all tasks of a gang or none, and only after its previous run has ended completely. */
     private void placeGang(Step step, List<TrackedWorker> usable, Plan plan, long nowNanos)
     {
         if (!step.isIdle())
@@ -273,53 +279,53 @@
             return;
         }
         Map<TrackedWorker, Integer> chosen = new HashMap<>();
-        List<TrackedWorker> places = new ArrayList<>();
+        List<TrackedWorker> placements = new ArrayList<>();
         for (Task task : step.tasks())
         {
-            TrackedWorker best = best(task, usable, chosen, nowNanos);
+            TrackedWorker best = bestWorker(task, usable, chosen, nowNanos);
             if (best == null)
             {
                 return;
             }
             chosen.merge(best, 1, Integer::sum);
-            places.add(best);
+            placements.add(best);
         }
         int run = step.nextGangRun();
         String checkpoint = step.gangCheckpoint();
-        for (int i = 0; i < places.size(); i++)
+        for (int i = 0; i < placements.size(); i++)
         {
-            start(step.tasks().get(i), run, places.get(i), checkpoint, plan, nowNanos);
+            start(step.tasks().get(i), run, placements.get(i), checkpoint, plan, nowNanos);
         }
     }
 
-    private void start(Task task, int run, TrackedWorker slot, String checkpoint, Plan plan, long nowNanos)
+    private void start(Task task, int run, TrackedWorker worker, String checkpoint, Plan plan, long nowNanos)
     {
-        task.order(slot, run, nowNanos);
+        task.order(worker, run, nowNanos);
         quotas.add(task.step());
         if (task.isSuspect())
         {
-            trials.add(slot);
+            isolationWorkers.add(worker);
         }
-        reservations.use(task.step(), slot);
-        String ticket = tickets.ticket(task.step(), slot).orElse(null);
-        plan.starts().add(new Start(task, run, slot, checkpoint, ticket));
+        reservations.consume(task.step(), worker);
+        String ticket = tickets.ticket(task.step(), worker).orElse(null);
+        plan.starts().add(new Start(task, run, worker, checkpoint, ticket));
     }
 
-    private TrackedWorker best(Task task, List<TrackedWorker> usable, Map<TrackedWorker, Integer> chosen,
-            long nowNanos)
+    private TrackedWorker bestWorker(Task task, List<TrackedWorker> usable,
+            Map<TrackedWorker, Integer> chosen, long nowNanos)
     {
         TrackedWorker best = null;
         double bestRating = Double.MAX_VALUE;
-        for (TrackedWorker slot : usable)
+        for (TrackedWorker worker : usable)
         {
-            int already = chosen.getOrDefault(slot, 0);
-            if (!trials.contains(slot) && hasRoom(task.step(), slot, already + 1))
+            int alreadyPlaced = chosen.getOrDefault(worker, 0);
+            if (!isolationWorkers.contains(worker) && hasCapacity(task.step(), worker, alreadyPlaced + 1))
             {
-                double value = rating.rating(task, slot, already, nowNanos);
-                if (value < bestRating)
+                double workerRating = rating.rating(task, worker, alreadyPlaced, nowNanos);
+                if (workerRating < bestRating)
                 {
-                    best = slot;
-                    bestRating = value;
+                    best = worker;
+                    bestRating = workerRating;
                 }
             }
         }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Preemption.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Preemption.java
@@ -15,43 +15,46 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * Makes room for tasks that fit nowhere: runs of less urgent queues are stopped if little of their
- * work is lost and their jobs can spare the time, and the room is kept until the task that waits
- * for it can start. Large tasks would otherwise wait for as long as small ones keep taking what
- * comes free: tasks of 2 to 8 accelerators waited 45 s (nine tenths, from acceptance to first start
- * by the log, 9 workers of 8 accelerators), with it 17 s.
+ * Selects runs of less urgent queues to stop for tasks that fit on no worker. A run is eligible
+ * only if little of its work is lost and its job has enough slack. The freed capacity is reserved
+ * for the waiting task, because smaller tasks would otherwise keep taking it piece by piece.
  */
 final class Preemption
 {
-    /** How long room is kept: a stop (up to 0.4 s on the workers seen), its note and newer advice. */
-    private static final long KEEP_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
-    /** A run that ends within this time is waited for: a stop would not free its room sooner. */
-    private static final long SOON_MILLIS = 300;
-    /** What a stopped run costs its job: the stop, another start and the restoring of its state. */
+    /**
+     * Lifetime of a reservation; covers the stop, the report of the run's end and a refresh of the
+     * advice.
+     */
+    private static final long RESERVATION_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
+    /**
+     * Runs that end within this time are not stopped, because a stop would not free capacity sooner.
+     */
+    private static final long ENDS_SOON_MILLIS = 300;
+    /** Delay of a job whose run is stopped: the stop, another start and restoring the checkpoint. */
     private static final long STOP_COST_MILLIS = 2_000;
-    /** How much of the time that a job could spare at first must be left for its runs to be stopped. */
-    private static final double LEAST_SPARE = 0.5;
-    /** What a run that saves its progress loses by a stop: the restoring of its state. */
+    /** Share of a job's initial slack that must be left for its runs to be stopped. */
+    private static final double MIN_SLACK_SHARE = 0.5;
+    /** Work lost by a run with checkpoints: the time to restore its state. */
     private static final long RESTORE_MILLIS = 600;
-    /** How much work may be lost for a task, as a part of what the task itself needs. */
-    private static final double MOST_LOSS = 0.5;
+    /** Maximum work lost by preemption, as a share of the work of the task to start. */
+    private static final double MAX_LOST_WORK_SHARE = 0.5;
 
-    /** Looking for runs to stop is dear: it is done this often, and for so many steps. */
-    private static final long PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
-    private static final int MOST_STEPS = 16;
+    /** The search for runs to stop is expensive, so its frequency and number of steps are limited. */
+    private static final long SEARCH_PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(50);
+    private static final int MAX_STEPS_PER_PERIOD = 16;
 
-    /** Room for one task on a worker, and the runs that are to be stopped for it. */
-    private record Place(TrackedWorker slot, List<Task> victims, double lostMillis)
+    /** Capacity for one task on a worker and the runs to stop for it. */
+    private record Placement(TrackedWorker worker, List<Task> victims, double lostMillis)
     {
     }
 
     private final CapacityReservations reservations;
     private long nowNanos;
     private long wallMillis;
-    private long dueNanos;
-    private boolean hasBegun;
+    private long nextSearchNanos;
+    private boolean hasSearched;
     private int stepsLeft;
-    private int leastUrgent;
+    private int leastUrgentPriority;
 
     Preemption(CapacityReservations reservations)
     {
@@ -59,108 +62,114 @@
     }
 
     /**
-     * Begins a round of decisions.
+     * Starts a planning round.
      *
-     * @param ledger what is at work
-     * @param newNanos the monotonic clock
-     * @param newMillis the time of day, in milliseconds since 1970
+     * @param cellState the jobs and workers of the cell
+     * @param currentNanos the monotonic time, in nanoseconds
+     * @param currentWallMillis the wall-clock time, in milliseconds since 1970
      */
-    void begin(CellState ledger, long newNanos, long newMillis)
+    void beginRound(CellState cellState, long currentNanos, long currentWallMillis)
     {
-        nowNanos = newNanos;
-        wallMillis = newMillis;
+        nowNanos = currentNanos;
+        wallMillis = currentWallMillis;
         stepsLeft = 0;
-        if (!hasBegun || newNanos - dueNanos >= 0)
+        if (!hasSearched || currentNanos - nextSearchNanos >= 0)
         {
-            hasBegun = true;
-            dueNanos = newNanos + PERIOD_NANOS;
-            stepsLeft = MOST_STEPS;
-            leastUrgent = ledger.leastUrgentRunning();
+            hasSearched = true;
+            nextSearchNanos = currentNanos + SEARCH_PERIOD_NANOS;
+            stepsLeft = MAX_STEPS_PER_PERIOD;
+            leastUrgentPriority = cellState.leastUrgentRunning();
         }
     }
 
     /**
-     * Whether this round still looks for runs to stop, and may find some for the step. Nothing is done
-     * where nothing less urgent is at work, or where the job is late in any case.
+     * Returns whether this round may search for runs to stop for the step. There is no search if no
+     * less urgent run exists or if the job will miss its objective anyway.
      */
-    boolean mayPreempt(Step step)
+    boolean canPreempt(Step step)
     {
         boolean mayStart = !step.spec().gang() || step.isIdle();
-        boolean isLeastUrgent = step.job().queue().priority() >= leastUrgent;
-        return stepsLeft > 0 && !isLeastUrgent && mayStart && !step.job().isOverdue(wallMillis);
+        boolean isLeastUrgent = step.job().queue().priority() >= leastUrgentPriority;
+        return stepsLeft > 0 && !isLeastUrgent && mayStart && !step.job().willMissObjective(wallMillis);
     }
 
     /**
-     * Makes room for the waiting tasks of a step that {@link #mayPreempt} lets pass, for all of a gang
-     * or for as many as possible.
+     * Selects runs to stop for the waiting tasks of a step: for all tasks of a gang, otherwise for as
+     * many as possible.
      *
      * @param step the step
      * @param allowed the workers that may run it
-     * @return the runs that are to be stopped
+     * @return the runs to stop
      */
     Effects preempt(Step step, Collection<TrackedWorker> allowed)
     {
         Effects effects = new Effects();
-        if (!mayPreempt(step))
+        if (!canPreempt(step))
         {
             return effects;
         }
         stepsLeft--;
-        int missing = step.waiting().size() - reservations.countOf(step);
-        List<Place> places = new ArrayList<>();
-        Set<Task> leaving = new HashSet<>();
-        for (int i = 0; i < missing; i++)
+        int unreserved = step.waitingTasks().size() - reservations.countOf(step);
+        List<Placement> placements = new ArrayList<>();
+        Set<Task> chosenVictims = new HashSet<>();
+        for (int i = 0; i < unreserved; i++)
         {
-            Place place = cheapest(step, allowed, places, leaving);
-            if (place == null)
+            Placement placement = cheapestPlacement(step, allowed, placements, chosenVictims);
+            if (placement == null)
             {
                 break;
             }
-            places.add(place);
-            leaving.addAll(place.victims());
+            placements.add(placement);
+            chosenVictims.addAll(placement.victims());
         }
-        if (step.spec().gang() && places.size() < missing)
+        if (step.spec().gang() && placements.size() < unreserved)
         {
             return effects;
         }
-        for (Place place : places)
+        for (Placement placement : placements)
         {
-            reservations.add(step, place.slot(), nowNanos + KEEP_NANOS);
-            place.victims().forEach(effects::stop);
+            reservations.add(step, placement.worker(), nowNanos + RESERVATION_NANOS);
+            placement.victims().forEach(effects::stop);
         }
         return effects;
     }
 
-    private Place cheapest(Step step, Collection<TrackedWorker> allowed, List<Place> chosen,
-            Set<Task> leaving)
+    private Placement cheapestPlacement(Step step, Collection<TrackedWorker> allowed, List<Placement> chosen,
+            Set<Task> chosenVictims)
     {
-        Place best = null;
-        for (TrackedWorker slot : allowed)
+        Placement best = null;
+        for (TrackedWorker worker : allowed)
         {
-            int already = reservations.countOf(step, slot)
-                    + (int) chosen.stream().filter(place -> place.slot() == slot).count();
-            Place place = step.mayAddTo(slot, already + 1) ? place(step, slot, already + 1, leaving) : null;
-            if (place != null && (best == null || place.lostMillis() < best.lostMillis()))
+            int alreadyReserved = reservations.countOf(step, worker)
+                    + (int) chosen.stream().filter(placement -> placement.worker() == worker).count();
+            Placement placement = step.canAddTo(worker, alreadyReserved + 1)
+                    ? findPlacement(step, worker, alreadyReserved + 1, chosenVictims)
+                    : null;
+            if (placement != null && (best == null || placement.lostMillis() < best.lostMillis()))
             {
-                best = place;
+                best = placement;
             }
         }
         return best;
     }
 
-    /** The runs to stop on a worker so that it has room for some tasks; null if it cannot have it. */
-    private Place place(Step step, TrackedWorker slot, int tasks, Set<Task> leaving)
+    /**
+     * Returns the runs to stop so that the worker has capacity for the given number of tasks, or null
+     * if that is not possible.
+     */
+    private Placement findPlacement(Step step, TrackedWorker worker, int tasks, Set<Task> chosenVictims)
     {
-        ComputeResources wanted = step.needs().times(tasks).plus(reservations.reservedAgainst(step, slot));
-        ComputeResources room = slot.free();
+        ComputeResources required = step.needs().times(tasks)
+                .plus(reservations.reservedAgainst(step, worker));
+        ComputeResources available = worker.free();
         List<Task> candidates = new ArrayList<>();
-        for (Task task : slot.tasks())
+        for (Task task : worker.tasks())
         {
-            if (leaving.contains(task) || endsSoon(task))
+            if (chosenVictims.contains(task) || endsSoon(task))
             {
-                room = room.plus(task.step().needs());
+                available = available.plus(task.step().needs());
             }
-            else if (mayStop(task, step))
+            else if (canStop(task, step))
             {
                 candidates.add(task);
             }
@@ -170,54 +179,54 @@
         double lost = 0;
         for (Task candidate : candidates)
         {
-            if (!room.fits(wanted))
+            if (!available.fits(required))
             {
-                room = room.plus(candidate.step().needs());
+                available = available.plus(candidate.step().needs());
                 victims.add(candidate);
-                lost += share(candidate.step(), slot) * lostMillis(candidate);
+                lost += shareOfWorker(candidate.step(), worker) * lostMillis(candidate);
             }
         }
-        double most = MOST_LOSS * share(step, slot) * step.spec().estimateMillis();
-        return room.fits(wanted) && lost <= most ? new Place(slot, victims, lost) : null;
+        double maxLost = MAX_LOST_WORK_SHARE * shareOfWorker(step, worker) * step.spec().estimateMillis();
+        return available.fits(required) && lost <= maxLost ? new Placement(worker, victims, lost) : null;
     }
 
     private long lostMillis(Task task)
     {
-        long ran = TimeUnit.NANOSECONDS.toMillis(nowNanos - task.startedNanos());
-        return task.step().spec().checkpointing() ? Math.min(ran, RESTORE_MILLIS) : ran;
+        long ranMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - task.startedNanos());
+        return task.step().spec().checkpointing() ? Math.min(ranMillis, RESTORE_MILLIS) : ranMillis;
     }
 
-    /** The part of a worker that a task of a step takes. */
-    private static double share(Step step, TrackedWorker slot)
+    /** Returns the share of a worker's capacity that a task of the step uses. */
+    private static double shareOfWorker(Step step, TrackedWorker worker)
     {
         ComputeResources needs = step.needs();
-        ComputeResources capacity = slot.entry().capacity();
-        return Math.max(part(needs.cpuMillis(), capacity.cpuMillis()),
-                part(needs.accelerators(), capacity.accelerators()));
+        ComputeResources capacity = worker.entry().capacity();
+        return Math.max(ratio(needs.cpuMillis(), capacity.cpuMillis()),
+                ratio(needs.accelerators(), capacity.accelerators()));
     }
 
-    private static double part(int amount, int whole)
+    private static double ratio(int amount, int total)
     {
-        return whole == 0 ? 0 : (double) amount / whole;
+        return total == 0 ? 0 : (double) amount / total;
     }
 
     private boolean endsSoon(Task task)
     {
         return task.phase() == Task.Phase.STOPPING
-                || task.phase() == Task.Phase.RUNNING && task.millisToEnd(nowNanos) <= SOON_MILLIS;
+                || task.phase() == Task.Phase.RUNNING && task.remainingMillis(nowNanos) <= ENDS_SOON_MILLIS;
     }
 
-    private static long leastSpareMillis(Job job)
+    private static long minSlackMillis(Job job)
     {
-        return Math.max(STOP_COST_MILLIS, (long) (LEAST_SPARE * job.wholeSpareMillis()));
+        return Math.max(STOP_COST_MILLIS, (long) (MIN_SLACK_SHARE * job.initialSlackMillis()));
     }
 
-    private boolean mayStop(Task task, Step urgent)
+    private boolean canStop(Task task, Step urgentStep)
     {
         Step step = task.step();
-        boolean lessUrgent = step.job().queue().priority() > urgent.job().queue().priority();
-        boolean single = !step.spec().longRunning() && !step.spec().gang();
-        return task.phase() == Task.Phase.RUNNING && lessUrgent && single
-                && step.job().spareMillis(wallMillis) >= leastSpareMillis(step.job());
+        boolean lessUrgent = step.job().queue().priority() > urgentStep.job().queue().priority();
+        boolean independent = !step.spec().longRunning() && !step.spec().gang();
+        return task.phase() == Task.Phase.RUNNING && lessUrgent && independent
+                && step.job().slackMillis(wallMillis) >= minSlackMillis(step.job());
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/QuotaUse.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/QuotaUsage.java
@@ -13,22 +13,19 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * What each customer may have running on all workers, held against its quota. A run counts from the
- * moment its start is decided until it is known to be over: started without an answer, on a silent
- * worker whose lease has not lapsed, left behind as a copy, being stopped, or unknown to its task.
- * Counted anew for each plan from what the workers hold, so that no count can drift. Not
- * thread-safe; used under the ledger's lock.
+ * Tracks the compute resources that each customer uses on all workers and compares them with its
+ * quota. A run counts from its planned start until its end is known; this includes unanswered
+ * starts, runs on unresponsive workers whose lease has not expired, abandoned runs, runs being
+ * stopped and orphan runs. Recomputed from the workers' state for each plan, so that no counter can
+ * drift. Not thread-safe; guarded by the lock of the cell state.
  *
  * <p>
- * Answers the load of one customer that sends several times its usual, and of one whose quota falls
- * far below what it has running: nothing new starts until it fits, and what runs goes on, since
- * stopping it would throw its work away.
+ * A customer above its quota, for example after the quota was lowered, gets no new starts until its
+ * usage fits; its runs continue, because stopping them would lose their work.
  */
-final class QuotaUse
+final class QuotaUsage
 {
-    /**
-     * One customer's quota and what counts against it; sums in place, since it is asked for each step.
-     */
+    /** The quota and current usage of one customer; mutable because it is consulted for each step. */
     private static final class Account
     {
         private final ComputeResources quota;
@@ -59,68 +56,74 @@
     private final Customers customers;
     private final Map<String, Account> accounts = new HashMap<>();
 
-    private QuotaUse(Customers customers)
+    private QuotaUsage(Customers customers)
     {
         this.customers = customers;
     }
 
     /**
+     * Computes the current usage.
+     *
      * @param customers the customers of the newest configuration
      * @param workers all workers, listed or not
-     * @return what may be running on them
+     * @return the usage of their runs
      */
-    static QuotaUse of(Customers customers, Collection<TrackedWorker> workers)
+    static QuotaUsage of(Customers customers, Collection<TrackedWorker> workers)
     {
-        QuotaUse use = new QuotaUse(customers);
+        QuotaUsage usage = new QuotaUsage(customers);
         if (customers.keysRequired())
         {
-            workers.forEach(use::addAll);
+            workers.forEach(usage::addRunsOf);
         }
-        return use;
+        return usage;
     }
 
-    private void addAll(TrackedWorker slot)
+    private void addRunsOf(TrackedWorker worker)
     {
-        slot.forEachTask(task -> add(task.step()));
-        slot.abandonedRuns().forEach(run -> add(run.task().step()));
-        slot.orphanSteps().forEach(this::add);
+        worker.forEachTask(task -> add(task.step()));
+        worker.abandonedRuns().forEach(run -> add(run.task().step()));
+        worker.orphanSteps().forEach(this::add);
     }
 
-    /** Counts one more run of a step. */
+    /** Adds the compute resources of one run of a step. */
     void add(Step step)
     {
         String customer = step.job().record().customer();
         if (customer != null)
         {
-            account(customer).add(step.needs());
+            accountOf(customer).add(step.needs());
         }
     }
 
-    private Account account(String customer)
+    private Account accountOf(String customer)
     {
         return accounts.computeIfAbsent(customer,
                 name -> new Account(customers.named(name).map(Customer::quota).orElse(Customer.UNLIMITED)));
     }
 
     /**
+     * Returns whether more tasks of a step fit into its customer's quota. Customers that are no longer
+     * configured are not limited.
+     *
      * @param step a step
-     * @param tasks how many of its tasks are to start
-     * @return whether they fit into its customer's quota beside all that may be running; a customer
-     *         that the configuration no longer has is not limited
+     * @param tasks the number of tasks to start
+     * @return whether the quota allows them
      */
     boolean allows(Step step, int tasks)
     {
         String customer = step.job().record().customer();
-        return customer == null || account(customer).allows(step.needs(), tasks);
+        return customer == null || accountOf(customer).allows(step.needs(), tasks);
     }
 
     /**
-     * @param customer a customer's name
-     * @return what it may have running
+     * Returns the compute resources in use by a customer.
+     *
+     * @param customer the name of a customer
+     * @return its usage
      */
     ComputeResources of(String customer)
     {
-        Account account = account(customer);
+        Account account = accountOf(customer);
         return new ComputeResources(0, Math.toIntExact(account.cpuMillis), Math.toIntExact(account.memoryMib),
                 Math.toIntExact(account.accelerators));
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/QuotaWatch.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/QuotaWatch.java
@@ -14,21 +14,21 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * Tells in the log when work of a customer begins to wait for its quota and when it no longer does:
- * two lines for each such time, however many plans it lasts.
+ * Logs when work of a customer starts and stops waiting for its quota, with one pair of events per
+ * wait period regardless of the number of plans.
  */
 final class QuotaWatch
 {
-    /** A customer is off its quota once nothing has waited for it for so long. */
-    private static final long CALM_NANOS = TimeUnit.SECONDS.toNanos(1);
+    /** Minimum time without waiting work before a wait period ends. */
+    private static final long MIN_QUIET_NANOS = TimeUnit.SECONDS.toNanos(1);
 
-    /** Since when a customer's work waits, and when it was last seen waiting. */
-    private record Spell(long begunNanos, long seenNanos)
+    /** Monotonic times at which a customer's work was first and last seen waiting. */
+    private record WaitPeriod(long firstNanos, long lastNanos)
     {
     }
 
     private final EventLog events;
-    private final Map<String, Spell> spells = new HashMap<>();
+    private final Map<String, WaitPeriod> waitPeriods = new HashMap<>();
 
     QuotaWatch(EventLog events)
     {
@@ -36,35 +36,36 @@
     }
 
     /**
-     * Takes note of a plan.
+     * Updates the wait periods after a planning round.
      *
-     * @param atQuota the customers of which work waits for their quota, and what they have running
-     * @param nowNanos a monotonic clock
+     * @param atQuota the compute resources in use, by customer whose work waits for its quota
+     * @param nowNanos the monotonic time, in nanoseconds
      */
     void planned(Map<String, ComputeResources> atQuota, long nowNanos)
     {
-        atQuota.forEach((customer, running) -> waits(customer, running, nowNanos));
-        Iterator<Map.Entry<String, Spell>> known = spells.entrySet().iterator();
-        while (known.hasNext())
+        atQuota.forEach((customer, running) -> recordWaiting(customer, running, nowNanos));
+        Iterator<Map.Entry<String, WaitPeriod>> iterator = waitPeriods.entrySet().iterator();
+        while (iterator.hasNext())
         {
-            Map.Entry<String, Spell> spell = known.next();
-            if (nowNanos - spell.getValue().seenNanos() > CALM_NANOS)
+            Map.Entry<String, WaitPeriod> entry = iterator.next();
+            if (nowNanos - entry.getValue().lastNanos() > MIN_QUIET_NANOS)
             {
                 long millis = TimeUnit.NANOSECONDS
-                        .toMillis(spell.getValue().seenNanos() - spell.getValue().begunNanos());
-                events.record(EventType.QUOTA_LEFT, spell.getKey(), "after " + millis + " ms");
-                known.remove();
+                        .toMillis(entry.getValue().lastNanos() - entry.getValue().firstNanos());
+                events.record(EventType.QUOTA_LEFT, entry.getKey(), "after " + millis + " ms");
+                iterator.remove();
             }
         }
     }
 
-    private void waits(String customer, ComputeResources running, long nowNanos)
+    private void recordWaiting(String customer, ComputeResources running, long nowNanos)
     {
-        Spell known = spells.get(customer);
-        if (known == null)
+        WaitPeriod previous = waitPeriods.get(customer);
+        if (previous == null)
         {
             events.record(EventType.QUOTA_REACHED, customer, "running: " + running);
         }
-        spells.put(customer, new Spell(known == null ? nowNanos : known.begunNanos(), nowNanos));
+        waitPeriods.put(customer,
+                new WaitPeriod(previous == null ? nowNanos : previous.firstNanos(), nowNanos));
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/RunObservation.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/RunObservation.java
@@ -6,52 +6,55 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** What the looks at its worker show of a task's newest run. Guarded by the ledger's monitor. */
+/**
+ * Progress of a task's latest run as reported by heartbeats. Guarded by the lock of the cell state.
+ */
 final class RunObservation
 {
-    /** Speed is taken over at least this time. */
-    private static final long SAMPLE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
-    /** What counts as done where the looks show no progress. */
-    private static final double LEAST_PERCENT = 0.5;
+    /** Minimum time over which speed is measured. */
+    private static final long MIN_SAMPLE_NANOS = TimeUnit.MILLISECONDS.toNanos(250);
+    /** Progress assumed if none was reported. */
+    private static final double MIN_PROGRESS_PERCENT = 0.5;
 
     private int percent;
     private double gauge;
     private long startedNanos;
-    private long movedNanos;
+    private long lastProgressNanos;
     private long observedNanos;
     private int samplePercent;
     private long sampleNanos;
 
-    /** A start was decided; nothing was seen of it yet. */
-    void ordered(long nowNanos)
+    /** Resets the observation for a newly planned start. */
+    void reset(long nowNanos)
     {
         percent = 0;
         gauge = 0;
         startedNanos = nowNanos;
-        movedNanos = nowNanos;
+        lastProgressNanos = nowNanos;
         observedNanos = nowNanos;
         samplePercent = 0;
         sampleNanos = nowNanos;
     }
 
-    /** The worker has the run. */
-    void begun(long nowNanos)
+    /** Records that the worker started the run. */
+    void onStarted(long nowNanos)
     {
         startedNanos = nowNanos;
-        movedNanos = nowNanos;
+        lastProgressNanos = nowNanos;
         sampleNanos = nowNanos;
     }
 
     /**
-     * Takes note of what a look shows.
+     * Records the state of the run in a heartbeat.
      *
-     * @param newPercent how much of the run is done, or the share of its speed for one that lasts
-     * @param newGauge the worker's figure for the run
-     * @param nowNanos a monotonic clock
+     * @param newPercent the finished share of the run, or for a long-running task its share of full
+     *            speed
+     * @param newGauge the value that the worker reports for the run
+     * @param nowNanos the monotonic time, in nanoseconds
      */
     void observe(int newPercent, double newGauge, long nowNanos)
     {
-        if (observedNanos - sampleNanos >= SAMPLE_NANOS)
+        if (observedNanos - sampleNanos >= MIN_SAMPLE_NANOS)
         {
             samplePercent = percent;
             sampleNanos = observedNanos;
@@ -59,7 +62,7 @@
         if (newPercent != percent)
         {
             percent = newPercent;
-            movedNanos = nowNanos;
+            lastProgressNanos = nowNanos;
         }
         gauge = newGauge;
         observedNanos = nowNanos;
@@ -80,48 +83,53 @@
         return startedNanos;
     }
 
-    /** When a look last showed another percentage than the one before. */
+    /** Returns the monotonic time of the last change of the percentage. */
     long lastProgressNanos()
     {
-        return movedNanos;
+        return lastProgressNanos;
     }
 
-    /** How long the looks have shown the run at work, in milliseconds. */
-    long seenMillis()
+    /** Returns the time for which heartbeats have shown the run, in milliseconds. */
+    long observedMillis()
     {
-        return millisUntil(observedNanos);
+        return millisSinceStart(observedNanos);
     }
 
-    /** How long after the run began a moment is, in milliseconds; 0 for one before. */
-    long millisUntil(long nanos)
+    /**
+     * Returns the time from the start of the run to the given monotonic time, in milliseconds; 0 if
+     * that time is earlier.
+     */
+    long millisSinceStart(long nanos)
     {
         return Math.max(0, TimeUnit.NANOSECONDS.toMillis(nanos - startedNanos));
     }
 
     /**
-     * How long a whole run takes at the speed that the newest looks show, in milliseconds; 0 if they
-     * show too little.
+     * Returns the projected duration of a whole run at its recent speed, in milliseconds, or 0 if the
+     * observed time is too short.
      */
-    double millisAtPresentSpeed()
+    double projectedMillis()
     {
-        double millis = TimeUnit.NANOSECONDS.toMillis(observedNanos - sampleNanos);
-        double done = Math.max(percent - samplePercent, LEAST_PERCENT);
-        return observedNanos - sampleNanos >= SAMPLE_NANOS ? millis * Task.WHOLE / done : 0;
+        double sampleMillis = TimeUnit.NANOSECONDS.toMillis(observedNanos - sampleNanos);
+        double progressPercent = Math.max(percent - samplePercent, MIN_PROGRESS_PERCENT);
+        return observedNanos - sampleNanos >= MIN_SAMPLE_NANOS
+                ? sampleMillis * Task.FULL_PERCENT / progressPercent
+                : 0;
     }
 
     /**
-     * How long the run still takes if it goes on as it did, in milliseconds.
+     * Returns the remaining time of the run at its average speed, in milliseconds.
      *
-     * @param estimateMillis how long a whole run takes, where the looks show no progress yet
-     * @param nowNanos a monotonic clock
+     * @param estimateMillis the estimated duration of a whole run, used if no progress was observed
+     * @param nowNanos the monotonic time, in nanoseconds
      */
-    long millisToEnd(long estimateMillis, long nowNanos)
+    long remainingMillis(long estimateMillis, long nowNanos)
     {
-        long ran = TimeUnit.NANOSECONDS.toMillis(nowNanos - startedNanos);
+        long ranMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - startedNanos);
         if (percent <= 0)
         {
-            return Math.max(0, estimateMillis - ran);
+            return Math.max(0, estimateMillis - ranMillis);
         }
-        return ran * (Task.WHOLE - percent) / percent;
+        return ranMillis * (Task.FULL_PERCENT - percent) / percent;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/SlowWorkerGuard.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/SlowWorkerGuard.java
@@ -15,76 +15,78 @@
 import org.gaugehollow.job.StepSpec;
 
 /**
- * Finds workers on which everything takes much longer than the other tasks of the same steps do
- * elsewhere, and moves what would take long there. Tasks of a step differ by themselves, so one
- * slow task says nothing of its worker: tasks of several steps must be slow on it and none in time.
+ * Detects workers on which runs take much longer than other tasks of the same steps on other
+ * workers, and moves long runs off them. Since tasks of a step vary in duration, tasks of several
+ * steps must be slow on a worker and none on time.
  */
 final class SlowWorkerGuard
 {
     private static final long PERIOD_NANOS = TimeUnit.MILLISECONDS.toNanos(100);
-    private static final int FEWEST_TASKS = 3;
-    private static final double SLOW_RATIO = 2.5;
-    private static final double NORMAL_RATIO = 1.8;
-    private static final int SLOW_STEPS = 2;
-    /** What a move costs beside the work that is done again: a stop, a decision and a start. */
-    private static final double MOVE_MILLIS = 500;
+    private static final int MIN_TASKS = 3;
+    private static final double MIN_SLOW_RATIO = 2.5;
+    private static final double MAX_NORMAL_RATIO = 1.8;
+    private static final int MIN_SLOW_STEPS = 2;
+    /** Cost of a move besides the repeated work: a stop, a planning round and a start. */
+    private static final double MOVE_COST_MILLIS = 500;
     private static final double UNKNOWN = 0;
 
-    private final CellState ledger;
+    private final CellState cellState;
     private final Map<Step, Double> medians = new HashMap<>();
     private long checkedNanos;
-    private boolean checked;
+    private boolean hasChecked;
 
-    SlowWorkerGuard(CellState ledger)
+    SlowWorkerGuard(CellState cellState)
     {
-        this.ledger = ledger;
+        this.cellState = cellState;
     }
 
-    /** Stops the runs that are to go on elsewhere. */
+    /** Checks all workers and stops the runs that should move. */
     Effects check(long nowNanos)
     {
         Effects effects = new Effects();
-        if (checked && nowNanos - checkedNanos < PERIOD_NANOS)
+        if (hasChecked && nowNanos - checkedNanos < PERIOD_NANOS)
         {
             return effects;
         }
-        checked = true;
+        hasChecked = true;
         checkedNanos = nowNanos;
         medians.clear();
-        for (TrackedWorker slot : ledger.workers())
+        for (TrackedWorker worker : cellState.workers())
         {
-            checkWorker(slot, nowNanos, effects);
+            checkWorker(worker, nowNanos, effects);
         }
         return effects;
     }
 
-    private void checkWorker(TrackedWorker slot, long nowNanos, Effects effects)
+    private void checkWorker(TrackedWorker worker, long nowNanos, Effects effects)
     {
         Set<Step> slowSteps = new HashSet<>();
         List<Task> slowTasks = new ArrayList<>();
-        for (Task task : slot.tasks())
+        for (Task task : worker.tasks())
         {
-            double ratio = ratio(task);
-            if (ratio != UNKNOWN && ratio < NORMAL_RATIO)
+            double slowdown = slowdown(task);
+            if (slowdown != UNKNOWN && slowdown < MAX_NORMAL_RATIO)
             {
-                slot.health().recordOnTime(nowNanos);
+                worker.health().recordOnTime(nowNanos);
                 return;
             }
-            if (ratio > SLOW_RATIO)
+            if (slowdown > MIN_SLOW_RATIO)
             {
                 slowSteps.add(task.step());
                 slowTasks.add(task);
             }
         }
-        if (slowSteps.size() >= SLOW_STEPS && !slot.health().wasOnTime(nowNanos))
+        if (slowSteps.size() >= MIN_SLOW_STEPS && !worker.health().wasOnTime(nowNanos))
         {
-            slot.health().recordSlow(nowNanos);
+            worker.health().recordSlow(nowNanos);
             slowTasks.stream().filter(this::isWorthMoving).forEach(effects::stop);
         }
     }
 
-    /** How much longer a run will take in all than the others of its step, or {@link #UNKNOWN}. */
-    private double ratio(Task task)
+    /**
+     * Returns the ratio of the run's projected duration to the median of its step, or {@link #UNKNOWN}.
+     */
+    private double slowdown(Task task)
     {
         double projected = projectedMillis(task);
         double median = medians.computeIfAbsent(task.step(), SlowWorkerGuard::medianMillis);
@@ -96,13 +98,15 @@
         List<Double> millis = new ArrayList<>();
         for (Task task : step.tasks())
         {
-            double own = task.phase() == Task.Phase.DONE ? task.ranMillis() : projectedMillis(task);
-            if (own != UNKNOWN)
+            double durationMillis = task.phase() == Task.Phase.DONE
+                    ? task.runMillis()
+                    : projectedMillis(task);
+            if (durationMillis != UNKNOWN)
             {
-                millis.add(own);
+                millis.add(durationMillis);
             }
         }
-        if (millis.size() < FEWEST_TASKS)
+        if (millis.size() < MIN_TASKS)
         {
             return UNKNOWN;
         }
@@ -110,19 +114,19 @@
         return millis.get((millis.size() - 1) / 2);
     }
 
-    /** How long a whole run takes at its present speed, or {@link #UNKNOWN}. */
+    /** Returns the duration of a whole run at its current speed, or {@link #UNKNOWN}. */
     private static double projectedMillis(Task task)
     {
         StepSpec spec = task.step().spec();
-        boolean counts = task.phase() == Task.Phase.RUNNING && !spec.longRunning() && !spec.gang()
+        boolean isComparable = task.phase() == Task.Phase.RUNNING && !spec.longRunning() && !spec.gang()
                 && !spec.fills();
-        return counts ? task.millisAtPresentSpeed() : UNKNOWN;
+        return isComparable ? task.projectedMillis() : UNKNOWN;
     }
 
-    /** Whether the rest takes longer there than all of it elsewhere. */
+    /** Returns whether the rest of the run takes longer than a whole run elsewhere. */
     private boolean isWorthMoving(Task task)
     {
-        double left = projectedMillis(task) * (Task.WHOLE - task.percent()) / Task.WHOLE;
-        return left > medians.get(task.step()) + MOVE_MILLIS;
+        double leftMillis = projectedMillis(task) * (Task.FULL_PERCENT - task.percent()) / Task.FULL_PERCENT;
+        return leftMillis > medians.get(task.step()) + MOVE_COST_MILLIS;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/StallGuard.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/StallGuard.java
@@ -5,60 +5,60 @@
 package org.gaugehollow.schedule;
 
 /**
- * Finds runs that stand still and moves them to other workers: a task whose progress has not
- * changed for a while, and a long-running one that does not get to work after its start.
+ * Stops stalled runs so that they continue on other workers: runs without progress for some time
+ * and long-running tasks that do not reach full speed after their start.
  */
 final class StallGuard
 {
     private static final long STALL_NANOS = 2_500_000_000L;
     private static final long START_NANOS = 5_000_000_000L;
 
-    private final CellState ledger;
+    private final CellState cellState;
 
-    StallGuard(CellState ledger)
+    StallGuard(CellState cellState)
     {
-        this.ledger = ledger;
+        this.cellState = cellState;
     }
 
-    /** Stops the runs that stand still on workers that answer. */
+    /** Stops the stalled runs on responsive workers. */
     Effects check(long nowNanos)
     {
         Effects effects = new Effects();
-        for (TrackedWorker slot : ledger.workers())
+        for (TrackedWorker worker : cellState.workers())
         {
-            if (slot.acceptsStarts() && nowNanos - slot.lastHeartbeatNanos() < STALL_NANOS / 2)
+            if (worker.acceptsStarts() && nowNanos - worker.lastHeartbeatNanos() < STALL_NANOS / 2)
             {
-                checkWorker(slot, nowNanos, effects);
+                checkWorker(worker, nowNanos, effects);
             }
         }
         return effects;
     }
 
-    private static void checkWorker(TrackedWorker slot, long nowNanos, Effects effects)
+    private static void checkWorker(TrackedWorker worker, long nowNanos, Effects effects)
     {
-        for (Task task : slot.tasks())
+        for (Task task : worker.tasks())
         {
-            if (task.phase() == Task.Phase.RUNNING && standsStill(task, nowNanos))
+            if (task.phase() == Task.Phase.RUNNING && isStalled(task, nowNanos))
             {
-                slot.health().recordStall(nowNanos);
+                worker.health().recordStall(nowNanos);
                 stop(task, effects);
             }
         }
     }
 
-    private static boolean standsStill(Task task, long nowNanos)
+    private static boolean isStalled(Task task, long nowNanos)
     {
-        if (task.speedLimitPercent() < Task.WHOLE || task.step().spec().fills())
+        if (task.speedLimitPercent() < Task.FULL_PERCENT || task.step().spec().fills())
         {
             return false;
         }
-        long still = nowNanos - task.lastProgressNanos();
+        long sinceProgressNanos = nowNanos - task.lastProgressNanos();
         return task.step().spec().longRunning()
-                ? task.percent() < Task.WHOLE && still > START_NANOS
-                : still > STALL_NANOS;
+                ? task.percent() < Task.FULL_PERCENT && sinceProgressNanos > START_NANOS
+                : sinceProgressNanos > STALL_NANOS;
     }
 
-    /** A gang is stopped whole: its other members would only wait. */
+    /** Stops a run, or the whole gang, since the other members could only wait. */
     private static void stop(Task task, Effects effects)
     {
         if (task.step().spec().gang())
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Step.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Step.java
@@ -12,7 +12,9 @@
 import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.worker.WorkerEntry;
 
-/** One step of one repetition of a job in the owner's memory. Guarded by the ledger's lock. */
+/**
+ * A step in one repetition of a job in the owner's memory. Guarded by the lock of the cell state.
+ */
 final class Step
 {
     private final Job job;
@@ -22,7 +24,7 @@
     private final ComputeResources needs;
     private final String name;
     private final List<Task> tasks = new ArrayList<>();
-    private int failedGangRun;
+    private int lastFailedGangRun;
     private int gangFailures;
 
     Step(Job job, int round, int number, StepSpec spec)
@@ -39,7 +41,7 @@
         }
     }
 
-    /** The room that each of its tasks takes. */
+    /** Returns the compute resources that each task needs. */
     ComputeResources needs()
     {
         return needs;
@@ -69,81 +71,83 @@
         return false;
     }
 
-    /** The tasks that wait for a start. */
-    List<Task> waiting()
+    /** Returns the tasks that wait for a start. */
+    List<Task> waitingTasks()
     {
         return tasks.stream().filter(task -> task.phase() == Task.Phase.WAITING).toList();
     }
 
-    /** Whether no task of it takes room anywhere. */
+    /** Returns whether no task of the step occupies a worker. */
     boolean isIdle()
     {
         return tasks.stream().noneMatch(Task::occupies);
     }
 
-    /** How many of its tasks have to start at the same time: all of a gang, else one. */
+    /** Returns the number of tasks that must start together: all tasks of a gang, otherwise one. */
     int tasksToStartTogether()
     {
         return spec.gang() ? tasks.size() : 1;
     }
 
-    /** The run that all members of a gang start next. */
+    /** Returns the run number for the next start of the gang. */
     int nextGangRun()
     {
         return tasks.stream().mapToInt(Task::run).max().orElse(0) + 1;
     }
 
-    /** The saved state that all members of a gang go on from; null if there is none. */
+    /** Returns the checkpoint that all members of the gang resume from, or null if there is none. */
     String gangCheckpoint()
     {
-        return tasks.stream().map(Task::checkpoint).filter(c -> c != null).findFirst().orElse(null);
+        return tasks.stream().map(Task::checkpoint).filter(checkpoint -> checkpoint != null).findFirst()
+                .orElse(null);
     }
 
-    /** One member's saved state serves for its gang. */
-    void savedByGang(String state)
+    /** Stores one member's checkpoint for all members of the gang. */
+    void savedByGang(String checkpoint)
     {
-        tasks.forEach(task -> task.saved(state));
+        tasks.forEach(task -> task.saved(checkpoint));
     }
 
-    /** Counts a failed run of the gang once, however many members report it. */
+    /** Counts a failed run of the gang once, regardless of the number of members that report it. */
     void gangFailed(int run)
     {
-        if (run > failedGangRun)
+        if (run > lastFailedGangRun)
         {
-            failedGangRun = run;
+            lastFailedGangRun = run;
             gangFailures++;
             tasks.getFirst().failed();
         }
     }
 
-    /** Whether a worker has the label that the step requires, if it requires one. */
+    /** Returns whether a worker has the label that the step requires, if any. */
     boolean hasLabel(WorkerEntry entry)
     {
         String label = spec.requires();
         return label == null || label.isEmpty() || entry.labels().contains(label);
     }
 
-    /** How many tasks of the step a worker holds. */
-    long countOn(TrackedWorker slot)
+    /** Returns the number of tasks of the step on a worker. */
+    long countOn(TrackedWorker worker)
     {
-        return tasks.stream().filter(task -> task.worker() == slot).count();
+        return tasks.stream().filter(task -> task.worker() == worker).count();
     }
 
-    /** Whether a worker may hold so many more tasks of the step beside those that it holds. */
-    boolean mayAddTo(TrackedWorker slot, int more)
+    /** Returns whether the anti-affinity limit allows additional tasks of the step on a worker. */
+    boolean canAddTo(TrackedWorker worker, int additional)
     {
-        int most = spec.antiAffinity();
-        return most == 0 || countOn(slot) + more <= most;
+        int maxPerWorker = spec.antiAffinity();
+        return maxPerWorker == 0 || countOn(worker) + additional <= maxPerWorker;
     }
 
-    /** How many tasks of a long-running step are not at work. */
-    long countAway()
+    /** Returns the number of tasks of a long-running step that are not running at full speed. */
+    long countNotRunning()
     {
         return tasks.stream()
-                .filter(task -> task.phase() != Task.Phase.RUNNING || task.percent() < Task.WHOLE).count();
+                .filter(task -> task.phase() != Task.Phase.RUNNING || task.percent() < Task.FULL_PERCENT)
+                .count();
     }
 
-    /** Stops every member that may be running. */
+    /** Stops every task that may be running. */
     void stopAll(Effects effects)
     {
         for (Task task : tasks)
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Task.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Task.java
@@ -13,27 +13,27 @@
 import org.gaugehollow.job.JobProgress.TaskProgress;
 import org.gaugehollow.job.StepSpec;
 
-/** One task in the owner's memory. Guarded by the ledger's lock. */
+/** A task in the owner's memory. Guarded by the lock of the cell state. */
 final class Task
 {
-    /** Where a task stands. */
+    /** State of a task. */
     enum Phase
     {
-        /** Its turn has come or will come; nothing of it runs. */
+        /** The task waits for a start; no run of it is on a worker. */
         WAITING,
-        /** A start may have been sent; whether it arrived is not known. */
+        /** A start may have been sent; its arrival is not known. */
         ORDERED,
-        /** The worker has it. */
+        /** The worker runs the task. */
         RUNNING,
-        /** A stop may have been sent; it counts as running until its end is known. */
+        /** A stop may have been sent; the task counts as running until its end is known. */
         STOPPING,
-        /** A run ended well. */
+        /** A run ended successfully. */
         DONE
     }
 
-    /** What {@link #percent} and {@link #speedLimitPercent} are parts of. */
-    static final int WHOLE = 100;
-    /** An order that is not settled yet. */
+    /** Full value of {@link #percent} and {@link #speedLimitPercent}. */
+    static final int FULL_PERCENT = 100;
+    /** Marks a command whose effect on the worker is not known yet. */
     static final long UNSETTLED = Long.MAX_VALUE;
 
     private final Step step;
@@ -45,20 +45,20 @@
     private TrackedWorker worker;
     private long settledNanos = UNSETTLED;
     private final RunObservation observation = new RunObservation();
-    private long ranMillis;
-    private int pace = WHOLE;
-    private long pacedNanos;
-    private String failedOn;
+    private long runMillis;
+    private int speedLimitPercent = FULL_PERCENT;
+    private long speedLimitSetNanos;
+    private String failedWorkerId;
     private CrashHistory crashes = CrashHistory.NONE;
-    /** Told by the history; kept, since it is asked for each pair of a task and a worker. */
+    /**
+     * Derived from the crash history; cached because it is read for each pair of a task and a worker.
+     */
     private boolean suspect;
-    /** Whether its newest start may have reached the worker. */
-    private boolean mayHaveBegun;
-    /** Whether the worker is known to have had its newest run. */
-    private boolean hasBegun;
-    /** Runs that were left on workers that do not answer; each may still go on or have ended. */
-    private Set<Integer> copies = Set.of();
-    private boolean doneByCopy;
+    private boolean mayHaveStarted;
+    private boolean hasStarted;
+    /** Runs abandoned on unresponsive workers; each may still be running or may have ended. */
+    private Set<Integer> abandonedRuns = Set.of();
+    private boolean doneByAbandonedRun;
 
     Task(Step step, int index)
     {
@@ -66,7 +66,7 @@
         this.index = index;
     }
 
-    /** Takes over what an earlier owner recorded. */
+    /** Restores the progress recorded by a previous owner. */
     void restore(TaskProgress progress, TrackedWorker recordedWorker, long nowNanos)
     {
         run = progress.run();
@@ -80,52 +80,53 @@
         else if (recordedWorker != null)
         {
             order(recordedWorker, run, nowNanos);
-            mayHaveBegun = true;
+            mayHaveStarted = true;
             settledNanos = Long.MIN_VALUE;
         }
     }
 
     TaskProgress progress()
     {
-        return new TaskProgress(run, failures, phase == Phase.DONE || doneByCopy,
+        return new TaskProgress(run, failures, phase == Phase.DONE || doneByAbandonedRun,
                 worker == null ? null : worker.id(), checkpoint, crashes.isEmpty() ? null : crashes);
     }
 
-    /** A start is about to be recorded and sent. */
+    /** Assigns the task to a worker before its start is recorded and sent. */
     void order(TrackedWorker target, int newRun, long nowNanos)
     {
         phase = Phase.ORDERED;
         run = newRun;
         worker = target;
         settledNanos = UNSETTLED;
-        observation.ordered(nowNanos);
-        pace = WHOLE;
-        pacedNanos = nowNanos;
-        mayHaveBegun = false;
-        hasBegun = false;
+        observation.reset(nowNanos);
+        speedLimitPercent = FULL_PERCENT;
+        speedLimitSetNanos = nowNanos;
+        mayHaveStarted = false;
+        hasStarted = false;
         target.addTask(this);
     }
 
-    /** The start is sent now. */
+    /** Records that the start is being sent. */
     void sent()
     {
-        mayHaveBegun = true;
+        mayHaveStarted = true;
     }
 
-    /** The worker has the run. */
+    /** Records that the worker runs the task. */
     void begun(long nowNanos)
     {
         if (phase == Phase.ORDERED)
         {
             phase = Phase.RUNNING;
-            mayHaveBegun = true;
-            hasBegun = true;
-            observation.begun(nowNanos);
+            mayHaveStarted = true;
+            hasStarted = true;
+            observation.onStarted(nowNanos);
         }
     }
 
     /**
-     * From now on, a look that was sent later and does not show the run proves that it is not there.
+     * Records when the last command took effect. A heartbeat sent later that does not list the run
+     * proves that the run is not on the worker.
      */
     void settle(long nowNanos)
     {
@@ -133,8 +134,8 @@
     }
 
     /**
-     * A start was answered: the worker has the run. It is no answer to a stop that was decided since;
-     * taken for one, it would keep a stop that was not sent yet from ever being sent.
+     * Handles the answer to a start: the worker runs the task. The answer does not settle a stop that
+     * was decided in the meantime, because that stop would then never be sent.
      */
     void startAnswered(long nowNanos)
     {
@@ -145,28 +146,29 @@
         }
     }
 
-    /**
-     * A stop of a run was answered. Only the first answer counts, and it says nothing of a later run.
-     */
-    void settleStop(TrackedWorker slot, int stoppedRun, long nowNanos)
+    /** Handles the answer to a stop. Only the first answer for the current run counts. */
+    void settleStop(TrackedWorker commandedWorker, int stoppedRun, long nowNanos)
     {
-        if (phase == Phase.STOPPING && isAt(slot, stoppedRun) && settledNanos == UNSETTLED)
+        if (phase == Phase.STOPPING && isAt(commandedWorker, stoppedRun) && settledNanos == UNSETTLED)
         {
             settle(nowNanos);
         }
     }
 
-    /** A stop is about to be sent. */
+    /** Marks the task as stopping before the stop is sent. */
     void stopping()
     {
         phase = Phase.STOPPING;
         settledNanos = UNSETTLED;
     }
 
-    /** Nothing of it runs any more; unless a copy ended well it waits for another run. */
+    /**
+     * Releases the worker after the run has ended. The task waits for another run unless an abandoned
+     * run has completed it.
+     */
     void release()
     {
-        if (doneByCopy)
+        if (doneByAbandonedRun)
         {
             done();
             return;
@@ -175,46 +177,51 @@
         phase = Phase.WAITING;
     }
 
-    /** Whether several runs may go on side by side, of which the first to end well counts. */
+    /**
+     * Returns whether several runs of the task may exist at a time, of which the first success counts.
+     */
     boolean mayHaveCopies()
     {
         StepSpec spec = step.spec();
         return spec.speculative() && !spec.gang() && !spec.longRunning();
     }
 
-    /** Its run stays where it is, and another may be started. */
+    /** Abandons the current run on its worker so that another run can start elsewhere. */
     void abandonRun()
     {
-        Set<Integer> left = new HashSet<>(copies);
-        left.add(run);
-        copies = left;
+        Set<Integer> withCurrent = new HashSet<>(abandonedRuns);
+        withCurrent.add(run);
+        abandonedRuns = withCurrent;
         release();
     }
 
-    /** The end of a run that was left is known; false if there is none of that number. */
+    /** Removes an abandoned run that has ended; returns false if no abandoned run has that number. */
     boolean endCopy(int number)
     {
-        return copies.contains(number) && copies.remove(number);
+        return abandonedRuns.contains(number) && abandonedRuns.remove(number);
     }
 
-    /** A run that was left ended well; what else runs of the task is to be stopped. */
+    /**
+     * Completes the task by an abandoned run that ended successfully. A current run still has to be
+     * stopped.
+     */
     void doneByCopy()
     {
-        doneByCopy = true;
+        doneByAbandonedRun = true;
         if (!occupies())
         {
             done();
         }
     }
 
-    /** A run ended well. */
+    /** Completes the task and records the duration of its run. */
     void done(long nowNanos)
     {
-        ranMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - observation.startedNanos());
+        runMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - observation.startedNanos());
         done();
     }
 
-    /** A run ended well, or the one that stands for it. */
+    /** Completes the task. */
     void done()
     {
         leaveWorker();
@@ -232,39 +239,39 @@
         settledNanos = UNSETTLED;
     }
 
-    /** Takes note of what a look at the worker shows. */
+    /** Records the progress reported by a heartbeat. */
     void observe(int percent, double gauge, long nowNanos)
     {
         observation.observe(percent, gauge, nowNanos);
     }
 
-    /** A run of it failed. */
+    /** Counts a failed run. */
     void failed()
     {
         failures++;
     }
 
-    /** Remembers the worker on which a run failed, so that the next one goes elsewhere. */
-    void failedOn(TrackedWorker slot)
+    /** Records the worker on which a run failed, so that the next run prefers another one. */
+    void failedOn(TrackedWorker failedWorker)
     {
-        failedOn = slot.id();
+        failedWorkerId = failedWorker.id();
     }
 
-    boolean hasFailedOn(TrackedWorker slot)
+    boolean hasFailedOn(TrackedWorker candidate)
     {
-        return slot.id().equals(failedOn);
+        return candidate.id().equals(failedWorkerId);
     }
 
-    /** Whether its newest start may have reached the worker. */
+    /** Returns whether the latest start may have reached the worker. */
     boolean mayHaveBegun()
     {
-        return mayHaveBegun;
+        return mayHaveStarted;
     }
 
-    /** Whether the worker is known to have had its newest run. */
+    /** Returns whether the worker is known to have started the latest run. */
     boolean hasBegun()
     {
-        return hasBegun;
+        return hasStarted;
     }
 
     CrashHistory crashes()
@@ -272,52 +279,52 @@
         return crashes;
     }
 
-    void setCrashes(CrashHistory newest)
+    void setCrashes(CrashHistory newCrashes)
     {
-        crashes = newest;
-        suspect = newest.count(Attribution.AT_START) > 0;
+        crashes = newCrashes;
+        suspect = newCrashes.count(Attribution.AT_START) > 0;
     }
 
-    /** Whether a worker crashed right after it had started the task. */
+    /** Returns whether a worker crashed right after starting the task. */
     boolean isSuspect()
     {
         return suspect;
     }
 
-    /** Whether a run of a suspect has not outlived its start yet. */
+    /** Returns whether the task is a suspect whose run is still within its isolation period. */
     boolean isIsolated()
     {
         return isSuspect() && occupies() && phase != Phase.STOPPING && seenMillis() < CrashGuard.TRIAL_MILLIS;
     }
 
-    void saved(String state)
+    void saved(String newCheckpoint)
     {
-        if (state != null && !state.isEmpty())
+        if (newCheckpoint != null && !newCheckpoint.isEmpty())
         {
-            checkpoint = state;
+            checkpoint = newCheckpoint;
         }
     }
 
-    void setSpeedLimitPercent(int newPace, long nowNanos)
+    void setSpeedLimitPercent(int newPercent, long nowNanos)
     {
-        pace = newPace;
-        pacedNanos = nowNanos;
+        speedLimitPercent = newPercent;
+        speedLimitSetNanos = nowNanos;
     }
 
     long speedLimitSetNanos()
     {
-        return pacedNanos;
+        return speedLimitSetNanos;
     }
 
-    /** Whether it takes room on its worker. */
+    /** Returns whether the task occupies a worker. */
     boolean occupies()
     {
         return worker != null;
     }
 
-    boolean isAt(TrackedWorker slot, int itsRun)
+    boolean isAt(TrackedWorker expectedWorker, int expectedRun)
     {
-        return worker == slot && run == itsRun;
+        return worker == expectedWorker && run == expectedRun;
     }
 
     Step step()
@@ -360,37 +367,40 @@
         return observation.startedNanos();
     }
 
-    /** See {@link RunObservation#millisAtPresentSpeed}. */
-    double millisAtPresentSpeed()
+    /** Returns the projected duration of a whole run, see {@link RunObservation#projectedMillis}. */
+    double projectedMillis()
     {
-        return observation.millisAtPresentSpeed();
+        return observation.projectedMillis();
     }
 
     /**
-     * How long the run still takes if it goes on as it did, in milliseconds; the estimate where the
-     * looks show no progress yet.
+     * Returns the remaining time of the run at its average speed, in milliseconds, or the estimate if
+     * no progress has been observed.
      */
-    long millisToEnd(long nowNanos)
+    long remainingMillis(long nowNanos)
     {
-        return observation.millisToEnd(step.spec().estimateMillis(), nowNanos);
+        return observation.remainingMillis(step.spec().estimateMillis(), nowNanos);
     }
 
-    /** How long the run that ended well took, in milliseconds; 0 if it is not known. */
-    long ranMillis()
+    /** Returns the duration of the successful run, in milliseconds, or 0 if unknown. */
+    long runMillis()
     {
-        return ranMillis;
+        return runMillis;
     }
 
-    /** How long the looks have shown its run at work, in milliseconds. */
+    /** Returns the time for which heartbeats have shown the run, in milliseconds. */
     long seenMillis()
     {
-        return observation.seenMillis();
+        return observation.observedMillis();
     }
 
-    /** How long after its run began a moment is, in milliseconds; 0 for one before. */
+    /**
+     * Returns the time from the start of the run to the given monotonic time, in milliseconds; 0 if
+     * that time is earlier.
+     */
     long millisUntil(long nanos)
     {
-        return observation.millisUntil(nanos);
+        return observation.millisSinceStart(nanos);
     }
 
     long lastProgressNanos()
@@ -405,7 +415,7 @@
 
     int speedLimitPercent()
     {
-        return pace;
+        return speedLimitPercent;
     }
 
     double gauge()
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/TaskName.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/TaskName.java
@@ -5,9 +5,9 @@
 package org.gaugehollow.schedule;
 
 /**
- * The full name of a task: job, repetition, step and index, joined by dots.
+ * Full name of a task: job, repetition, step and index, joined by dots.
  *
- * @param job the job's id
+ * @param job the id of the job
  * @param round the repetition, counted from 0
  * @param step the step, counted from 0
  * @param index the task within its step, counted from 0
@@ -16,7 +16,7 @@
 {
     private static final int PARTS = 4;
 
-    /** Reads a full name; null if the text is not one. */
+    /** Parses a full name; returns null if the text is not one. */
     static TaskName parse(String text)
     {
         String[] parts = text.split("\\.");
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WeightRates.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WeightRates.java
@@ -15,52 +15,56 @@
 import org.gaugehollow.job.Customers;
 
 /**
- * Tells which jobs a customer sent within its weight: in any second as many as its weight, the
- * earliest first. The others wait behind what all customers send within theirs, so that one that
- * sends several times its usual costs the others nothing while the cell is full, and takes what is
- * idle otherwise. Jobs that last or have due times are never put back: they hold their place for
- * their whole life. Not thread-safe; used under the ledger's lock.
+ * Limits the number of jobs per second that each customer gets planned at normal rank: as many as
+ * its weight, the earliest first. Jobs beyond the weight wait behind all jobs within theirs, so
+ * that a burst of one customer does not delay the others but can use idle capacity. Jobs that are
+ * long-running or have due times are never limited. Not thread-safe; guarded by the lock of the
+ * cell state.
  */
 final class WeightRates
 {
     private static final long WINDOW_MILLIS = 1_000;
     /**
-     * How long acceptances are remembered: far longer than boxes' clocks differ and a store's silence
-     * holds records back.
+     * Retention of accepted jobs; far longer than clock differences between boxes and delays of the
+     * store.
      */
-    private static final long MEMORY_MILLIS = 60_000;
+    private static final long RETENTION_MILLIS = 60_000;
 
-    /** The acceptances within the weight, by their milliseconds, of each customer. */
-    private final Map<String, TreeMap<Long, Integer>> within = new HashMap<>();
+    /** Number of jobs accepted within the weight, by customer and acceptance time in milliseconds. */
+    private final Map<String, TreeMap<Long, Integer>> acceptedWithinWeight = new HashMap<>();
 
-    /** Rates jobs that were accepted since the last call. */
+    /** Classifies the jobs accepted since the last call as within or beyond their customer's weight. */
     void rate(Collection<Job> accepted, Customers customers)
     {
         List<Job> earliestFirst = accepted.stream()
                 .sorted(Comparator.comparingLong(job -> job.record().acceptedMillis())).toList();
         for (Job job : earliestFirst)
         {
-            customers.named(job.record().customer()).filter(customer -> !job.isOpen())
-                    .ifPresent(customer -> job.setBeyondWeight(!take(customer, job)));
+            customers.named(job.record().customer()).filter(customer -> !job.isOpenEnded())
+                    .ifPresent(customer -> job.setBeyondWeight(!tryAcquire(customer, job)));
         }
     }
 
-    /** Takes one of the customer's places in the second before the job, if one is left. */
-    private boolean take(Customer customer, Job job)
+    /**
+     * Returns whether the job is within the customer's weight over the window that precedes it, and
+     * counts it if so.
+     */
+    private boolean tryAcquire(Customer customer, Job job)
     {
-        TreeMap<Long, Integer> times = within.computeIfAbsent(customer.name(), name -> new TreeMap<>());
+        TreeMap<Long, Integer> counts = acceptedWithinWeight.computeIfAbsent(customer.name(),
+                name -> new TreeMap<>());
         long accepted = job.record().acceptedMillis();
-        int before = 0;
-        for (int count : times.subMap(accepted - WINDOW_MILLIS, false, accepted, true).values())
+        int recent = 0;
+        for (int count : counts.subMap(accepted - WINDOW_MILLIS, false, accepted, true).values())
         {
-            before += count;
+            recent += count;
         }
-        if (before >= customer.weight())
+        if (recent >= customer.weight())
         {
             return false;
         }
-        times.merge(accepted, 1, Integer::sum);
-        times.headMap(times.lastKey() - MEMORY_MILLIS).clear();
+        counts.merge(accepted, 1, Integer::sum);
+        counts.headMap(counts.lastKey() - RETENTION_MILLIS).clear();
         return true;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerHealth.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerHealth.java
@@ -8,23 +8,23 @@
 import java.util.Set;
 
 /**
- * What the ends of runs say of one worker. A worker whose runs fail one after another, in different
- * jobs, gets work only when nothing else has room.
+ * Health of a worker as derived from the results of its runs. A worker on which runs of several
+ * jobs fail in succession is avoided unless no other worker has free capacity.
  */
 final class WorkerHealth
 {
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final int SUSPECT_AFTER = 2;
-    private static final long REFUSED_MILLIS = 500;
-    private static final long SUSPECT_MILLIS = 4_000;
-    private static final long IN_TIME_MILLIS = 700;
+    private static final int MIN_FAILED_JOBS = 2;
+    private static final long REFUSAL_AVOID_MILLIS = 500;
+    private static final long FAULT_AVOID_MILLIS = 4_000;
+    private static final long ON_TIME_MILLIS = 700;
 
     private final Set<String> failedJobs = new HashSet<>();
     private boolean proven;
     private long avoidUntilNanos = Long.MIN_VALUE;
-    private long inTimeUntilNanos = Long.MIN_VALUE;
+    private long onTimeUntilNanos = Long.MIN_VALUE;
 
-    /** A run ended well. */
+    /** Records the success of a run. */
     void recordSuccess()
     {
         failedJobs.clear();
@@ -32,46 +32,46 @@
         avoidUntilNanos = Long.MIN_VALUE;
     }
 
-    /** A run failed. */
+    /** Records the failure of a run. */
     void recordFailure(String job, long nowNanos)
     {
         failedJobs.add(job);
         proven = false;
-        if (failedJobs.size() >= SUSPECT_AFTER)
+        if (failedJobs.size() >= MIN_FAILED_JOBS)
         {
-            avoidUntilNanos = nowNanos + SUSPECT_MILLIS * NANOS_PER_MILLI;
+            avoidUntilNanos = nowNanos + FAULT_AVOID_MILLIS * NANOS_PER_MILLI;
         }
     }
 
-    /** It refused an order or left it unanswered. */
+    /** Records a command that was refused or not answered. */
     void recordRefusal(long nowNanos)
     {
-        avoidUntilNanos = Math.max(avoidUntilNanos, nowNanos + REFUSED_MILLIS * NANOS_PER_MILLI);
+        avoidUntilNanos = Math.max(avoidUntilNanos, nowNanos + REFUSAL_AVOID_MILLIS * NANOS_PER_MILLI);
     }
 
-    /** A run stood still there. */
+    /** Records a stalled run. */
     void recordStall(long nowNanos)
     {
         proven = false;
-        avoidUntilNanos = nowNanos + SUSPECT_MILLIS * NANOS_PER_MILLI;
+        avoidUntilNanos = nowNanos + FAULT_AVOID_MILLIS * NANOS_PER_MILLI;
     }
 
-    /** A run there takes about as long as others of its step take elsewhere. */
+    /** Records that a run takes about as long as other runs of its step. */
     void recordOnTime(long nowNanos)
     {
-        inTimeUntilNanos = nowNanos + IN_TIME_MILLIS * NANOS_PER_MILLI;
+        onTimeUntilNanos = nowNanos + ON_TIME_MILLIS * NANOS_PER_MILLI;
     }
 
     boolean wasOnTime(long nowNanos)
     {
-        return nowNanos < inTimeUntilNanos;
+        return nowNanos < onTimeUntilNanos;
     }
 
-    /** Everything takes much longer there than elsewhere. */
+    /** Records that runs take much longer on this worker than elsewhere. */
     void recordSlow(long nowNanos)
     {
         proven = false;
-        avoidUntilNanos = nowNanos + SUSPECT_MILLIS * NANOS_PER_MILLI;
+        avoidUntilNanos = nowNanos + FAULT_AVOID_MILLIS * NANOS_PER_MILLI;
     }
 
     boolean isAvoided(long nowNanos)
@@ -79,7 +79,7 @@
         return nowNanos < avoidUntilNanos;
     }
 
-    /** Whether its newest end was a good one. */
+    /** Returns whether the worker's latest run ended successfully. */
     boolean isProven()
     {
         return proven;
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerRating.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerRating.java
@@ -9,18 +9,18 @@
 import org.gaugehollow.placement.WorkerScore;
 
 /**
- * Rates workers for a task: by their load, and by what speaks against them, in parts of a full
- * load.
+ * Rates workers for a task by load, health and placement preferences. One unit corresponds to a
+ * fully loaded worker.
  */
 final class WorkerRating
 {
     private static final double AFFINITY_WEIGHT = 0.6;
-    private static final double DISTURBANCE_WEIGHT = 1.5;
+    private static final double INTERFERENCE_WEIGHT = 1.5;
     private static final double FAILURE_WEIGHT = 2;
     private static final double UNPROVEN_WEIGHT = 3;
     private static final double AVOIDED_WEIGHT = 100;
-    /** What a whole worker full of work speaks against trying a suspect there. */
-    private static final double AT_STAKE_WEIGHT = 3;
+    /** Penalty for running a suspect on a fully used worker. */
+    private static final double CRASH_COST_WEIGHT = 3;
 
     private final WorkerScore score;
 
@@ -30,57 +30,60 @@
     }
 
     /**
+     * Returns the rating of a worker for a task.
+     *
      * @param task a task
-     * @param slot a worker that has room for it
-     * @param already how many tasks of the same step are to be placed there before it
-     * @param nowNanos the monotonic clock
+     * @param worker a worker with free capacity for it
+     * @param alreadyPlaced the number of tasks of the same step to place there before it
+     * @param nowNanos the monotonic time, in nanoseconds
      * @return the rating; lower is better
      */
-    double rating(Task task, TrackedWorker slot, int already, long nowNanos)
+    double rating(Task task, TrackedWorker worker, int alreadyPlaced, long nowNanos)
     {
         StepSpec spec = task.step().spec();
         ComputeResources needs = spec.needs();
-        double rating = score.score(slot.entry().capacity(), slot.free().minus(needs.times(already)), needs);
-        rating += slot.health().isAvoided(nowNanos) ? AVOIDED_WEIGHT : 0;
-        rating += slot.health().hasFailures() ? FAILURE_WEIGHT : 0;
-        rating += task.failures() > 0 && !slot.health().isProven() ? UNPROVEN_WEIGHT : 0;
-        rating += task.hasFailedOn(slot) ? UNPROVEN_WEIGHT : 0;
-        rating += task.isSuspect() ? AT_STAKE_WEIGHT * atStake(slot) : 0;
-        boolean far = spec.affinity() != null && !spec.affinity().isEmpty()
-                && !slot.entry().labels().contains(spec.affinity());
-        rating += far ? AFFINITY_WEIGHT : 0;
-        rating += spec.rackLocal() && !sharesRack(task.step(), slot) ? AFFINITY_WEIGHT : 0;
-        rating += disturbs(spec, slot) ? DISTURBANCE_WEIGHT : 0;
+        double rating = score.score(worker.entry().capacity(),
+                worker.free().minus(needs.times(alreadyPlaced)), needs);
+        rating += worker.health().isAvoided(nowNanos) ? AVOIDED_WEIGHT : 0;
+        rating += worker.health().hasFailures() ? FAILURE_WEIGHT : 0;
+        rating += task.failures() > 0 && !worker.health().isProven() ? UNPROVEN_WEIGHT : 0;
+        rating += task.hasFailedOn(worker) ? UNPROVEN_WEIGHT : 0;
+        rating += task.isSuspect() ? CRASH_COST_WEIGHT * crashCost(worker) : 0;
+        boolean lacksAffinity = spec.affinity() != null && !spec.affinity().isEmpty()
+                && !worker.entry().labels().contains(spec.affinity());
+        rating += lacksAffinity ? AFFINITY_WEIGHT : 0;
+        rating += spec.rackLocal() && !sharesRack(task.step(), worker) ? AFFINITY_WEIGHT : 0;
+        rating += interferes(spec, worker) ? INTERFERENCE_WEIGHT : 0;
         return rating;
     }
 
     /**
-     * What a crash of a worker would cost: the part of it that is at work, and one more where something
-     * has just begun, of which a crash could not be told apart.
+     * Returns the cost of a crash of the worker: the share of its capacity in use, plus one if a run
+     * has just started there, because a crash could then not be attributed to a single task.
      */
-    private static double atStake(TrackedWorker slot)
+    private static double crashCost(TrackedWorker worker)
     {
-        int capacity = Math.max(1, slot.entry().capacity().cpuMillis());
-        double used = (double) slot.used().cpuMillis() / capacity;
-        boolean hasBegun = slot.tasks().stream()
+        int capacity = Math.max(1, worker.entry().capacity().cpuMillis());
+        double used = (double) worker.used().cpuMillis() / capacity;
+        boolean hasRecentStart = worker.tasks().stream()
                 .anyMatch(task -> task.seenMillis() < CrashGuard.TRIAL_MILLIS);
-        return used + (hasBegun ? 1 : 0);
+        return used + (hasRecentStart ? 1 : 0);
     }
 
-    private static boolean sharesRack(Step step, TrackedWorker slot)
+    private static boolean sharesRack(Step step, TrackedWorker worker)
     {
         return step.tasks().stream().filter(Task::occupies).allMatch(other -> other.worker().entry() != null
-                && other.worker().entry().rack().equals(slot.entry().rack()));
+                && other.worker().entry().rack().equals(worker.entry().rack()));
     }
 
-    /** Whether tasks that fill and tasks that serve would share the worker. */
-    private static boolean disturbs(StepSpec spec, TrackedWorker slot)
+    /** Returns whether the step would make best-effort tasks and serving tasks share the worker. */
+    private static boolean interferes(StepSpec spec, TrackedWorker worker)
     {
         if (!spec.fills() && spec.targetMillis() == 0)
         {
             return false;
         }
-        for (Task other : slot.tasks())
+        for (Task other : worker.tasks())
         {
             StepSpec otherSpec = other.step().spec();
             if (spec.fills() ? otherSpec.targetMillis() > 0 : otherSpec.fills())
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/AdviceCandidatesTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/AdviceCandidatesTest.java
@@ -15,24 +15,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A busy cell: of 245 workers the last twenty in the list have room. Asked about the first hundred,
- * as before, the service needs 1.2 s for a step of 21 tasks in place of the 0.7 s that its
- * objective allows for, and names no worker with room.
+ * Guards against advice calls that are too large or that ask about workers without free capacity.
  */
 class AdviceCandidatesTest
 {
     private static final int WORKERS = 245;
-    private static final int ROOMY = 20;
+    private static final int WORKERS_WITH_CAPACITY = 20;
     private static final int CPU = 9_000;
-    private static final int USUAL = 30;
+    private static final int TYPICAL_CALL_SIZE = 30;
 
-    private final CellState ledger = new CellState(() -> 0, 0);
+    private final CellState cellState = new CellState(() -> 0, 0);
 
     private void list(int free)
     {
         for (int i = 0; i < WORKERS; i++)
         {
-            ledger.list(TestJobs.worker("w" + i, i < WORKERS - free ? CPU - 1 : 3 * CPU)).recordHeartbeat(0);
+            cellState.list(TestJobs.worker("w" + i, i < WORKERS - free ? CPU - 1 : 3 * CPU))
+                    .recordHeartbeat(0);
         }
     }
 
@@ -43,68 +42,70 @@
 
     private Step step(String id, StepSpec spec)
     {
-        ledger.accept(TestJobs.job(id, spec), 1, null, 0);
-        return ledger.find(id + ".0.0.0").step();
+        cellState.accept(TestJobs.job(id, spec), 1, null, 0);
+        return cellState.find(id + ".0.0.0").step();
     }
 
-    private List<String> ask(Step step, Set<String> healthy)
+    private List<String> choose(Step step, Set<String> allowedWorkers)
     {
-        return new AdviceCandidates(step, healthy).choose(ledger.workers()).stream().map(TrackedWorker::id)
-                .toList();
+        return new AdviceCandidates(step, allowedWorkers).choose(cellState.workers()).stream()
+                .map(TrackedWorker::id).toList();
     }
 
-    private static boolean isRoomy(String worker)
+    private static boolean hasCapacity(String worker)
     {
-        return Integer.parseInt(worker.substring(1)) >= WORKERS - ROOMY;
+        return Integer.parseInt(worker.substring(1)) >= WORKERS - WORKERS_WITH_CAPACITY;
     }
 
     @Test
-    void workersWithRoomAreAskedAboutFirstAndNoMoreThanTheUsualCallHolds()
+    void workersWithCapacityComeFirstAndCallSizeIsLimited()
     {
-        list(ROOMY);
-        List<String> asked = ask(step("00000000000000a1", 10), Set.of());
-        assertThat(asked.subList(0, ROOMY).stream().allMatch(AdviceCandidatesTest::isRoomy)).isTrue();
-        assertThat(asked).hasSize(USUAL);
+        list(WORKERS_WITH_CAPACITY);
+        List<String> asked = choose(step("00000000000000a1", 10), Set.of());
+        assertThat(
+                asked.subList(0, WORKERS_WITH_CAPACITY).stream().allMatch(AdviceCandidatesTest::hasCapacity))
+                .isTrue();
+        assertThat(asked).hasSize(TYPICAL_CALL_SIZE);
     }
 
     @Test
-    void wideStepsAskAboutAsManyAsTheirTasksNeed()
+    void candidateCountGrowsWithWaitingTasks()
     {
         list(WORKERS);
-        int asked = ask(step("00000000000000a1", 100), Set.of()).size();
-        assertThat(asked).isGreaterThan(USUAL);
+        int asked = choose(step("00000000000000a1", 100), Set.of()).size();
+        assertThat(asked).isGreaterThan(TYPICAL_CALL_SIZE);
         assertThat(asked).isAtMost(100);
     }
 
-    /** Where nothing has room, tickets are asked for ahead, not for a hundred workers each time. */
     @Test
-    void aCellWithoutRoomIsAskedAboutInUsualCalls()
+    void fullCellUsesTypicalCallSize()
     {
         list(0);
-        assertThat(ask(step("00000000000000a1", 4), Set.of())).hasSize(USUAL);
+        assertThat(choose(step("00000000000000a1", 4), Set.of())).hasSize(TYPICAL_CALL_SIZE);
     }
 
     @Test
-    void stepsThatAskAtTheSameTimeDoNotCrowdOnTheSameWorkers()
+    void concurrentStepsChooseDifferentWorkers()
     {
         list(WORKERS);
-        Set<String> all = new HashSet<>();
-        List<String> named = new ArrayList<>();
+        Set<String> distinct = new HashSet<>();
+        List<String> chosen = new ArrayList<>();
         for (int i = 1; i <= 4; i++)
         {
-            List<String> asked = ask(step(String.format("%016x", i), 4), Set.of());
-            all.addAll(asked);
-            named.addAll(asked);
+            List<String> asked = choose(step(String.format("%016x", i), 4), Set.of());
+            distinct.addAll(asked);
+            chosen.addAll(asked);
         }
-        assertThat(named).hasSize(4 * USUAL);
-        assertThat(all.size()).isGreaterThan(2 * USUAL);
+        assertThat(chosen).hasSize(4 * TYPICAL_CALL_SIZE);
+        assertThat(distinct.size()).isGreaterThan(2 * TYPICAL_CALL_SIZE);
     }
 
     @Test
-    void knownWorkersComeBeforeOthersWithAsMuchRoom()
+    void knownAllowedWorkersComeFirstAmongEquals()
     {
-        list(ROOMY);
-        Set<String> healthy = Set.of("w230", "w240", "w3");
-        assertThat(ask(step("00000000000000a1", 10), healthy).subList(0, 2)).containsExactly("w230", "w240");
+        list(WORKERS_WITH_CAPACITY);
+        Set<String> allowedWorkers = Set.of("w230", "w240", "w3");
+        assertThat(choose(step("00000000000000a1", 10), allowedWorkers).subList(0, 2)).containsExactly("w230",
+                "w240");
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/PlannerLoadTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/PlannerLoadTest.java
@@ -17,41 +17,41 @@
 import org.gaugehollow.time.SteadyClock;
 import org.junit.jupiter.api.Test;
 
-/** A burst of large jobs in a full cell: what each round of decisions has to look at. */
+/** Guards against planning cost that grows with the number of waiting steps in a full cell. */
 class PlannerLoadTest
 {
     private static final int WORKERS = 60;
     private static final int WORKER_CPU = 16_000;
     private static final int TASK_CPU = 4_500;
-    private static final int TASKS_A_WORKER = WORKER_CPU / TASK_CPU;
+    private static final int TASKS_PER_WORKER = WORKER_CPU / TASK_CPU;
     private static final int JOBS = 60;
     private static final int TASKS = 9;
     private static final QueueSpec PATIENT = new QueueSpec("patient", "service", 2, 2, 1_200, 2.2, null);
 
-    private final CellState ledger = new CellState(SteadyClock::nanos, TimeUnit.SECONDS.toNanos(15));
+    private final CellState cellState = new CellState(SteadyClock::nanos, TimeUnit.SECONDS.toNanos(15));
     private final CountingTickets tickets = new CountingTickets();
-    private final Planner planner = new Planner(ledger, tickets, new WaitingFirstScore(0.5));
+    private final Planner planner = new Planner(cellState, tickets, new WaitingFirstScore(0.5));
 
-    /** Counts how often a step and a worker are compared. */
+    /** Counts the comparisons of a step with a worker. */
     private static final class CountingTickets implements Planner.Tickets
     {
         private int comparisons;
 
         @Override
-        public Optional<String> ticket(Step step, TrackedWorker slot)
+        public Optional<String> ticket(Step step, TrackedWorker worker)
         {
             return Optional.empty();
         }
 
         @Override
-        public boolean isDenied(Step step, TrackedWorker slot)
+        public boolean isDenied(Step step, TrackedWorker worker)
         {
             comparisons++;
             return false;
         }
 
         @Override
-        public boolean isAllowed(Step step, TrackedWorker slot)
+        public boolean isAllowed(Step step, TrackedWorker worker)
         {
             return true;
         }
@@ -68,20 +68,19 @@
         return planner.plan(SteadyClock.nanos(), System.currentTimeMillis()).starts().size();
     }
 
-    /** In a cell of 60 workers, 40 steps that wait were compared with 2,400 workers in each round. */
     @Test
-    void stepsThatWaitForAFullCellAreComparedWithNoWorker()
+    void waitingStepsAreNotMatchedAgainstFullWorkers()
     {
         for (int i = 0; i < WORKERS; i++)
         {
-            ledger.list(TestJobs.worker("w" + i, WORKER_CPU)).recordHeartbeat(SteadyClock.nanos());
+            cellState.list(TestJobs.worker("w" + i, WORKER_CPU)).recordHeartbeat(SteadyClock.nanos());
         }
         for (int i = 0; i < JOBS; i++)
         {
             JobSpec spec = new JobSpec("text", List.of(TestJobs.step(TASKS, TASK_CPU, List.of())), 0, 0, 0);
-            ledger.accept(new JobRecord(String.format("%016x", i), PATIENT, spec, 0), i, null, 0);
+            cellState.accept(new JobRecord(String.format("%016x", i), PATIENT, spec, 0), i, null, 0);
         }
-        assertThat(plan()).isEqualTo(WORKERS * TASKS_A_WORKER);
+        assertThat(plan()).isEqualTo(WORKERS * TASKS_PER_WORKER);
         tickets.comparisons = 0;
         assertThat(plan()).isEqualTo(0);
         assertThat(tickets.comparisons).isEqualTo(0);
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/PreemptionTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/PreemptionTest.java
@@ -19,29 +19,29 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** When runs are stopped for more urgent tasks, and who gets the room that comes free. */
+/** Guards against wrong preemption decisions and against freed capacity going to other tasks. */
 class PreemptionTest
 {
     private static final String LARGE = "00000000000000bb";
     private static final String SMALL = "00000000000000cc";
     private static final int WHOLE_WORKER = 4_000;
     private static final int HALF_WORKER = 2_000;
-    /** Its jobs of one step of 800 ms may take 8.25 s. */
+    /** Allows a job of one 800 ms step 8.25 s. */
     private static final QueueSpec PATIENT = new QueueSpec("patient", "service", 2, 3, 250, 10, null);
     private static final QueueSpec URGENT = new QueueSpec("urgent", "service", 1, 3, 2_000, 2, null);
-    /** Its jobs take longer than they may. */
+    /** Its jobs always miss their objective. */
     private static final QueueSpec TIGHT = new QueueSpec("tight", "service", 1, 3, 0, 0.5, null);
 
     private final AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(1_000));
-    private final CellState ledger = new CellState(clock::get, TimeUnit.SECONDS.toNanos(13));
-    private final Planner planner = new Planner(ledger, new NoTickets(), new WaitingFirstScore(0.5));
+    private final CellState cellState = new CellState(clock::get, TimeUnit.SECONDS.toNanos(13));
+    private final Planner planner = new Planner(cellState, new NoTickets(), new WaitingFirstScore(0.5));
     private TrackedWorker worker;
     private long wallMillis;
 
     @BeforeEach
     void listWorker()
     {
-        worker = ledger.list(TestJobs.worker("w1", WHOLE_WORKER));
+        worker = cellState.list(TestJobs.worker("w1", WHOLE_WORKER));
         worker.setLeaseHeld(true);
     }
 
@@ -53,7 +53,7 @@
 
     private void accept(String id, QueueSpec queue, long revision, StepSpec step)
     {
-        ledger.accept(new JobRecord(id, queue, new JobSpec("text", List.of(step), 0, 0, 0), wallMillis),
+        cellState.accept(new JobRecord(id, queue, new JobSpec("text", List.of(step), 0, 0, 0), wallMillis),
                 revision, null, wallMillis);
     }
 
@@ -68,18 +68,19 @@
 
     private static List<Effects.Stop> stops(Planner.Plan plan)
     {
-        return plan.preemptions().stream().flatMap(room -> room.effects().stops().stream()).toList();
+        return plan.preemptions().stream().flatMap(preemption -> preemption.effects().stops().stream())
+                .toList();
     }
 
     private void end(Effects.Stop stop, long number)
     {
-        ledger.applyHeartbeat(worker,
+        cellState.applyHeartbeat(worker,
                 TestJobs.answer(List.of(), List.of(TestJobs.ended(number, stop.task(), RunEnd.STOPPED))),
                 number - 1, clock.get());
     }
 
     @Test
-    void runsThatSaveMakeRoomForAMoreUrgentTask()
+    void checkpointingRunsArePreemptedForMoreUrgentTask()
     {
         accept(SMALL, PATIENT, 1, step(2, HALF_WORKER, true));
         assertThat(plan().starts()).hasSize(2);
@@ -95,7 +96,7 @@
     }
 
     @Test
-    void roomThatComesFreeInPartsIsKept()
+    void partiallyFreedCapacityStaysReserved()
     {
         accept(SMALL, PATIENT, 1, step(3, HALF_WORKER, true));
         plan();
@@ -106,7 +107,7 @@
     }
 
     @Test
-    void runsThatDoNotSaveAreStoppedOnlyWhereLittleIsLost()
+    void runsWithoutCheckpointAreNotStoppedWhenMuchWorkWouldBeLost()
     {
         accept(SMALL, PATIENT, 1, step(2, HALF_WORKER, false));
         plan();
@@ -116,7 +117,7 @@
     }
 
     @Test
-    void runsThatDoNotSaveAndHaveJustBegunAreStopped()
+    void recentlyStartedRunsWithoutCheckpointAreStopped()
     {
         accept(SMALL, PATIENT, 1, step(2, HALF_WORKER, false));
         plan();
@@ -125,7 +126,7 @@
     }
 
     @Test
-    void nothingIsStoppedForATaskOfTheSameQueue()
+    void noRunIsStoppedForTaskOfSameQueue()
     {
         accept(SMALL, PATIENT, 1, step(2, HALF_WORKER, true));
         plan();
@@ -134,7 +135,7 @@
     }
 
     @Test
-    void aJobThatWouldBecomeLateIsLeft()
+    void jobThatWouldBecomeLateIsNotPreempted()
     {
         accept(SMALL, PATIENT, 1, step(2, HALF_WORKER, true));
         plan();
@@ -144,7 +145,7 @@
     }
 
     @Test
-    void nothingIsStoppedForAJobThatIsLateInAnyCase()
+    void noRunIsStoppedForJobThatWillMissItsObjective()
     {
         accept(SMALL, PATIENT, 1, step(2, HALF_WORKER, true));
         plan();
@@ -153,7 +154,7 @@
     }
 
     @Test
-    void jobsThatCanStillBeInTimeGoBeforeThoseThatCannot()
+    void jobsThatCanMeetTheirObjectiveStartFirst()
     {
         accept(LARGE, URGENT, 1, step(1, WHOLE_WORKER, true));
         worker.setLeaseHeld(false);
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/QuotaPropertyTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/QuotaPropertyTest.java
@@ -36,45 +36,44 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * Whatever the order in which jobs come, starts arrive, late or without an answer, runs are stopped
- * and end, workers fall silent until their leases lapse, owners change and quotas rise and fall: no
- * start brings what the workers really run for a customer beyond the quota in force.
+ * Guards against starts that raise a customer's actual usage above its quota, under any sequence of
+ * job submissions, delayed starts, run ends, lease expiries, owner changes and quota changes.
  */
 class QuotaPropertyTest
 {
-    private static final int KINDS = 9;
+    private static final int EVENT_KINDS = 9;
     private static final int CPU_PER_UNIT = 1_000;
     private static final int WORKERS = 2;
-    private static final int ROOM_UNITS = 40;
+    private static final int CAPACITY_UNITS = 40;
     private static final List<String> CUSTOMERS = List.of("north", "south");
     private static final long LEASE_NANOS = TimeUnit.SECONDS.toNanos(14);
 
-    /** A worker as it really is: what runs there, and which starts are still on their way. */
-    private final class Machine
+    /** Actual state of a worker: its runs and the starts not yet delivered to it. */
+    private final class SimulatedWorker
     {
         private final String id;
-        private final List<Planner.Start> arriving = new ArrayList<>();
+        private final List<Planner.Start> pendingStarts = new ArrayList<>();
         private final Map<String, Planner.Start> running = new HashMap<>();
         private final List<EndedRun> ended = new ArrayList<>();
-        private long ends;
-        private boolean silent;
+        private long endCount;
+        private boolean unresponsive;
 
-        private Machine(String id)
+        private SimulatedWorker(String id)
         {
             this.id = id;
         }
 
-        private void arrive()
+        private void deliverStarts()
         {
-            for (Planner.Start start : arriving)
+            for (Planner.Start start : pendingStarts)
             {
                 running.put(start.task().name(), start);
                 assertWithinQuota(start);
             }
-            arriving.clear();
+            pendingStarts.clear();
         }
 
-        /** One of its runs ends, and with it the rest of its gang, if all of that are there. */
+        /** Ends a run, and its whole gang if all members are running. */
         private void end(int which, RunEnd how)
         {
             List<String> names = running.keySet().stream().sorted().toList();
@@ -93,76 +92,76 @@
             }
         }
 
-        /** It tells of the end at the next look. */
+        /** Ends a run; the next heartbeat reports it. */
         private void endOne(Planner.Start start, RunEnd how)
         {
             running.remove(start.task().name());
-            ends++;
-            ended.add(new EndedRun(ends, start.task().name(), start.run(), how, ""));
+            endCount++;
+            ended.add(new EndedRun(endCount, start.task().name(), start.run(), how, ""));
         }
 
-        private void look()
+        private void heartbeat()
         {
-            if (!silent)
+            if (!unresponsive)
             {
-                if (!seen.containsKey(id))
+                if (!acknowledgedEnds.containsKey(id))
                 {
-                    // the first look of an owner bars what an earlier one sent
-                    arriving.clear();
+                    // the first heartbeat of an owner blocks starts sent by an earlier owner
+                    pendingStarts.clear();
                 }
-                List<RunningRun> rows = running.values().stream()
+                List<RunningRun> runs = running.values().stream()
                         .map(start -> new RunningRun(start.task().name(), start.run(), "", 1, 0)).toList();
-                TrackedWorker slot = ledger.worker(id).orElseThrow();
-                ledger.applyHeartbeat(slot, TestJobs.answer(rows, List.copyOf(ended)),
-                        seen.getOrDefault(id, 0L), clock.get());
-                seen.put(id, ends);
+                TrackedWorker worker = cellState.worker(id).orElseThrow();
+                cellState.applyHeartbeat(worker, TestJobs.answer(runs, List.copyOf(ended)),
+                        acknowledgedEnds.getOrDefault(id, 0L), clock.get());
+                acknowledgedEnds.put(id, endCount);
             }
         }
 
-        /** Its lease is over: what ran there has ended, and the owner knows. */
-        private void lapse()
+        /** Expires the lease: all runs have ended and the owner knows. */
+        private void expireLease()
         {
             running.clear();
-            arriving.clear();
-            ledger.onWorkerLost(ledger.worker(id).orElseThrow(), WorkerLossCause.LAPSED);
-            silent = false;
+            pendingStarts.clear();
+            cellState.onWorkerLost(cellState.worker(id).orElseThrow(), WorkerLossCause.LAPSED);
+            unresponsive = false;
         }
     }
 
     private final AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(1_000));
     private final List<JobRecord> accepted = new ArrayList<>();
     private final Map<String, Integer> quotaUnits = new HashMap<>();
-    private final Map<String, Long> seen = new HashMap<>();
-    /** What the store holds of each job; an owner does not read what it knows to be over. */
+    private final Map<String, Long> acknowledgedEnds = new HashMap<>();
+    /** Stored progress by job id. */
     private final Map<String, JobProgress> recorded = new HashMap<>();
-    private final List<Machine> machines = new ArrayList<>();
-    /** The largest quota since each start was decided: one that falls stops nothing. */
-    private final Map<String, Integer> allowed = new HashMap<>();
-    private final Map<String, String> customerOf = new HashMap<>();
-    private CellState ledger;
+    private final List<SimulatedWorker> workers = new ArrayList<>();
+    /** Maximum quota in units since each start was planned; lowering a quota stops no runs. */
+    private final Map<String, Integer> maxAllowedUnits = new HashMap<>();
+    private final Map<String, String> customerByStart = new HashMap<>();
+    private CellState cellState;
     private Planner planner;
     private long version = 1;
 
-    /** Members of a gang work only together, and what ends one ends all. */
+    /** Ends a whole gang, because its members only run together. */
     private void endGang(Planner.Start first, RunEnd how)
     {
-        Map<Planner.Start, Machine> members = new HashMap<>();
-        for (Machine machine : machines)
+        Map<Planner.Start, SimulatedWorker> members = new HashMap<>();
+        for (SimulatedWorker worker : workers)
         {
-            machine.running.values().stream()
+            worker.running.values().stream()
                     .filter(start -> start.run() == first.run()
                             && start.task().step().name().equals(first.task().step().name()))
-                    .forEach(start -> members.put(start, machine));
+                    .forEach(start -> members.put(start, worker));
         }
         if (members.size() < first.task().step().tasks().size())
         {
             return;
         }
         RunEnd others = how == RunEnd.DONE ? RunEnd.DONE : RunEnd.BROKEN;
-        members.forEach((start, machine) -> machine.endOne(start, start == first ? how : others));
+        members.forEach((start, worker) -> worker.endOne(start, start == first ? how : others));
     }
 
-    private static String orderOf(Planner.Start start)
+    private static String startKey(Planner.Start start)
     {
         return start.task().name() + '/' + start.run();
     }
@@ -171,9 +170,9 @@
     {
         String customer = start.task().step().job().record().customer();
         int units = 0;
-        for (Machine machine : machines)
+        for (SimulatedWorker worker : workers)
         {
-            for (Planner.Start run : machine.running.values())
+            for (Planner.Start run : worker.running.values())
             {
                 if (customer.equals(run.task().step().job().record().customer()))
                 {
@@ -181,8 +180,8 @@
                 }
             }
         }
-        assertWithMessage("%s runs so much when %s begins", customer, start.task().name()).that(units)
-                .isAtMost(allowed.get(orderOf(start)));
+        assertWithMessage("units in use by %s when %s starts", customer, start.task().name()).that(units)
+                .isAtMost(maxAllowedUnits.get(startKey(start)));
     }
 
     private void configure()
@@ -194,40 +193,40 @@
                                         Customer.NO_LIMIT, Customer.NO_LIMIT)),
                                 List.of("key of " + name)))
                 .toList();
-        ledger.configure(new CellConfig(version, List.of(), List.of("service"), Customers.of(declared)));
+        cellState.configure(new CellConfig(version, List.of(), List.of("service"), Customers.of(declared)));
         version++;
     }
 
-    private void begin()
+    private void startOwner()
     {
-        ledger = new CellState(clock::get, LEASE_NANOS);
-        planner = new Planner(ledger, new NoTickets(), new WaitingFirstScore(0.5));
-        seen.clear();
+        cellState = new CellState(clock::get, LEASE_NANOS);
+        planner = new Planner(cellState, new NoTickets(), new WaitingFirstScore(0.5));
+        acknowledgedEnds.clear();
         configure();
     }
 
-    /** Another owner begins: it reads what was recorded, and then looks at the workers. */
+    /** Replaces the owner: the new one reads the stored progress and then sends heartbeats. */
     private void changeOwner()
     {
         accepted.forEach(record -> progressOf(record.id()).ifPresent(p -> recorded.put(record.id(), p)));
-        begin();
-        accepted.forEach(record -> ledger.accept(record, 1, recorded.get(record.id()), 0));
-        for (Machine machine : machines)
+        startOwner();
+        accepted.forEach(record -> cellState.accept(record, 1, recorded.get(record.id()), 0));
+        for (SimulatedWorker worker : workers)
         {
-            list(machine);
-            machine.look();
+            list(worker);
+            worker.heartbeat();
         }
     }
 
     private Optional<JobProgress> progressOf(String id)
     {
-        Task first = ledger.find(id + ".0.0.0");
+        Task first = cellState.find(id + ".0.0.0");
         return first == null ? Optional.empty() : Optional.of(first.step().job().progress());
     }
 
-    private void list(Machine machine)
+    private void list(SimulatedWorker worker)
     {
-        ledger.list(TestJobs.worker(machine.id, ROOM_UNITS * CPU_PER_UNIT));
+        cellState.list(TestJobs.worker(worker.id, CAPACITY_UNITS * CPU_PER_UNIT));
     }
 
     private void accept(int amount)
@@ -239,29 +238,30 @@
         JobRecord owned = new JobRecord(job.id(), job.queue(), job.job(), job.acceptedMillis(),
                 CUSTOMERS.get(amount % CUSTOMERS.size()));
         accepted.add(owned);
-        ledger.accept(owned, accepted.size(), null, 0);
+        cellState.accept(owned, accepted.size(), null, 0);
     }
 
     private void changeQuota(int amount)
     {
         quotaUnits.put(CUSTOMERS.get(amount % CUSTOMERS.size()), amount);
-        allowed.replaceAll((order, units) -> Math.max(units, quotaUnits.get(customerOf.get(order))));
+        maxAllowedUnits.replaceAll(
+                (startKey, units) -> Math.max(units, quotaUnits.get(customerByStart.get(startKey))));
         configure();
     }
 
-    /** One event; the number picks which, and how much. */
-    private void happen(int number)
+    /** Applies an event; the number selects its kind and amount. */
+    private void applyEvent(int number)
     {
-        int amount = number / KINDS;
-        Machine machine = machines.get(amount % WORKERS);
-        switch (number % KINDS)
+        int amount = number / EVENT_KINDS;
+        SimulatedWorker worker = workers.get(amount % WORKERS);
+        switch (number % EVENT_KINDS)
         {
             case 0, 1 -> accept(amount);
-            case 2 -> machine.arrive();
-            case 3 -> machine.end(amount, RunEnd.DONE);
-            case 4 -> machine.end(amount, RunEnd.FAILED);
-            case 5 -> machine.silent = !machine.silent;
-            case 6 -> machine.lapse();
+            case 2 -> worker.deliverStarts();
+            case 3 -> worker.end(amount, RunEnd.DONE);
+            case 4 -> worker.end(amount, RunEnd.FAILED);
+            case 5 -> worker.unresponsive = !worker.unresponsive;
+            case 6 -> worker.expireLease();
             case 7 -> changeOwner();
             default -> changeQuota(amount);
         }
@@ -269,65 +269,59 @@
 
     private void plan()
     {
-        Set<String> orders = new HashSet<>();
+        Set<String> startKeys = new HashSet<>();
         for (Planner.Start start : planner.plan(clock.get(), 0).starts())
         {
             start.task().sent();
             String customer = start.task().step().job().record().customer();
-            String order = orderOf(start);
-            allowed.put(order, quotaUnits.get(customer));
-            customerOf.put(order, customer);
-            assertWithMessage("started once").that(orders.add(order)).isTrue();
-            machines.stream().filter(machine -> machine.id.equals(start.slot().id())).findFirst()
-                    .orElseThrow().arriving.add(start);
+            String startKey = startKey(start);
+            maxAllowedUnits.put(startKey, quotaUnits.get(customer));
+            customerByStart.put(startKey, customer);
+            assertWithMessage("run started only once").that(startKeys.add(startKey)).isTrue();
+            workers.stream().filter(worker -> worker.id.equals(start.slot().id())).findFirst()
+                    .orElseThrow().pendingStarts.add(start);
         }
     }
 
     /**
-     * A gang is done, and the owner changes three times. The test itself once forgot what the store
-     * held of jobs that the owner before had known to be over, started the gang anew under the same run
-     * number, and took its earlier end for the end of that: seven units ran under a quota of six.
+     * Guards against the end of an old gang run being taken for that of a new run after owner changes.
      */
     @Example
-    void whatIsDoneStaysDoneOverChangesOfOwner()
+    void finishedGangStaysFinishedAcrossOwnerChanges()
     {
-        noCustomerRunsMoreThanItsQuota(List.of(0, 0, 0, 0, 2, 11, 3, 7, 7, 2, 5, 16, 47));
+        customerUsageNeverExceedsQuota(List.of(0, 0, 0, 0, 2, 11, 3, 7, 7, 2, 5, 16, 47));
     }
 
-    /**
-     * A job failed for good while another of its tasks still ran and was to be stopped. The next owner
-     * knew a job that is over by a short record without its tasks, so the run did not count until its
-     * end, and seven units ran under a quota of six.
-     */
+    /** Guards against runs of a failed job being dropped from the usage after an owner change. */
     @Example
-    void aJobThatIsOverKeepsItsRunsOverAChangeOfOwner()
+    void runsOfFailedJobCountAfterOwnerChange()
     {
         List<Integer> events = new ArrayList<>(List.of(0, 36, 11, 0, 0, 2, 0, 0, 3));
         events.addAll(Collections.nCopies(15, 0));
         events.addAll(List.of(4, 16, 0, 0, 0, 0, 0, 13, 0, 2, 0, 0, 0, 0, 76, 34, 0, 0, 11));
-        noCustomerRunsMoreThanItsQuota(events);
+        customerUsageNeverExceedsQuota(events);
     }
 
     @Property(tries = 500)
-    void noCustomerRunsMoreThanItsQuota(
+    void customerUsageNeverExceedsQuota(
             @ForAll @Size(min = 1, max = 80) List<@IntRange(min = 0, max = 120) Integer> events)
     {
         accepted.clear();
         recorded.clear();
-        allowed.clear();
-        machines.clear();
+        maxAllowedUnits.clear();
+        workers.clear();
         CUSTOMERS.forEach(name -> quotaUnits.put(name, 6));
         for (int i = 1; i <= WORKERS; i++)
         {
-            machines.add(new Machine("w" + i));
+            workers.add(new SimulatedWorker("w" + i));
         }
-        begin();
-        machines.forEach(this::list);
+        startOwner();
+        workers.forEach(this::list);
         for (int number : events)
         {
             clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(100));
-            happen(number);
-            machines.forEach(Machine::look);
+            applyEvent(number);
+            workers.forEach(SimulatedWorker::heartbeat);
             plan();
         }
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/QuotaWatchTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/QuotaWatchTest.java
@@ -16,14 +16,14 @@
 import org.gaugehollow.model.ComputeResources;
 import org.junit.jupiter.api.Test;
 
-/** What the log says of a customer whose work waits for its quota. */
+/** Guards against repeated log events while a customer's work waits for its quota. */
 class QuotaWatchTest
 {
     private static final Map<String, ComputeResources> NORTH = Map.of("north",
             new ComputeResources(0, 1_000, 0, 0));
 
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
-    private final QuotaWatch watch = new QuotaWatch(events);
+    private final QuotaWatch monitor = new QuotaWatch(events);
 
     private List<String> logged()
     {
@@ -32,12 +32,11 @@
 
     private void plan(Map<String, ComputeResources> atQuota, long millis)
     {
-        watch.planned(atQuota, TimeUnit.MILLISECONDS.toNanos(millis));
+        monitor.planned(atQuota, TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
-    /** A hundred plans a second, with short breaks, are one time at the quota. */
     @Test
-    void aTimeAtTheQuotaIsTwoLines()
+    void oneWaitPeriodLogsTwoEvents()
     {
         for (int millis = 0; millis < 5_000; millis += 10)
         {
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/SlowWorkerGuardTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/SlowWorkerGuardTest.java
@@ -16,7 +16,7 @@
 import org.gaugehollow.worker.HeartbeatReply.RunningRun;
 import org.junit.jupiter.api.Test;
 
-/** Slow workers are told from slow tasks. */
+/** Guards against missing slow workers and against taking slow tasks for slow workers. */
 class SlowWorkerGuardTest
 {
     private static final String FIRST = "00000000000000a1";
@@ -25,111 +25,111 @@
     private static final int WORKERS = 4;
 
     private final AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(1_000));
-    private final CellState ledger = new CellState(clock::get, 0);
-    private final SlowWorkerGuard guard = new SlowWorkerGuard(ledger);
-    private final List<TrackedWorker> slots = new ArrayList<>();
+    private final CellState cellState = new CellState(clock::get, 0);
+    private final SlowWorkerGuard guard = new SlowWorkerGuard(cellState);
+    private final List<TrackedWorker> workers = new ArrayList<>();
     private final Map<TrackedWorker, List<Task>> tasks = new HashMap<>();
 
-    /** Each job has one task on each worker. */
+    /** Starts one task of each job on each worker. */
     private void runOnAllWorkers(String... jobs)
     {
         for (int i = 0; i < WORKERS; i++)
         {
-            slots.add(ledger.list(TestJobs.worker("w" + i, 64_000)));
-            tasks.put(slots.get(i), new ArrayList<>());
+            workers.add(cellState.list(TestJobs.worker("w" + i, 64_000)));
+            tasks.put(workers.get(i), new ArrayList<>());
         }
         for (String job : jobs)
         {
-            ledger.accept(TestJobs.job(job, TestJobs.step(WORKERS, 100, List.of())), 1, null, 0);
+            cellState.accept(TestJobs.job(job, TestJobs.step(WORKERS, 100, List.of())), 1, null, 0);
             for (int i = 0; i < WORKERS; i++)
             {
-                Task task = ledger.find(job + ".0.0." + i);
-                task.order(slots.get(i), 1, clock.get());
+                Task task = cellState.find(job + ".0.0." + i);
+                task.order(workers.get(i), 1, clock.get());
                 task.begun(clock.get());
-                tasks.get(slots.get(i)).add(task);
+                tasks.get(workers.get(i)).add(task);
             }
         }
     }
 
-    private void look(int worker, int... percents)
+    private void heartbeat(int worker, int... percents)
     {
         List<RunningRun> runs = new ArrayList<>();
-        List<Task> there = tasks.get(slots.get(worker));
+        List<Task> workerTasks = tasks.get(workers.get(worker));
         for (int i = 0; i < percents.length; i++)
         {
-            runs.add(new RunningRun(there.get(i).name(), 1, "", percents[i], 0));
+            runs.add(new RunningRun(workerTasks.get(i).name(), 1, "", percents[i], 0));
         }
-        ledger.applyHeartbeat(slots.get(worker), TestJobs.answer(runs, List.of()), 0, clock.get());
+        cellState.applyHeartbeat(workers.get(worker), TestJobs.answer(runs, List.of()), 0, clock.get());
     }
 
-    private void lookAtNormalWorkers(int... percents)
+    private void heartbeatFromNormalWorkers(int... percents)
     {
         for (int i = 1; i < WORKERS; i++)
         {
-            look(i, percents);
+            heartbeat(i, percents);
         }
     }
 
     @Test
-    void whatRunsOnASlowWorkerIsMovedAndTheWorkerAvoided()
+    void runsOnSlowWorkerAreMovedAndWorkerIsAvoided()
     {
         runOnAllWorkers(FIRST, SECOND);
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(500));
-        lookAtNormalWorkers(50, 60);
-        look(0, 8, 9);
+        heartbeatFromNormalWorkers(50, 60);
+        heartbeat(0, 8, 9);
         Effects effects = guard.check(clock.get());
         assertThat(effects.stops()).hasSize(2);
-        assertThat(effects.stops().getFirst().slot()).isSameInstanceAs(slots.get(0));
-        assertThat(slots.get(0).health().isAvoided(clock.get())).isTrue();
-        assertThat(slots.get(1).health().isAvoided(clock.get())).isFalse();
+        assertThat(effects.stops().getFirst().slot()).isSameInstanceAs(workers.get(0));
+        assertThat(workers.get(0).health().isAvoided(clock.get())).isTrue();
+        assertThat(workers.get(1).health().isAvoided(clock.get())).isFalse();
     }
 
     @Test
-    void slowTasksBesideOneInTimeDoNotMakeTheirWorkerSlow()
+    void workerWithOneNormalTaskIsNotSlow()
     {
         runOnAllWorkers(FIRST, SECOND, THIRD);
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(500));
-        lookAtNormalWorkers(50, 60, 50);
-        look(0, 8, 9, 45);
+        heartbeatFromNormalWorkers(50, 60, 50);
+        heartbeat(0, 8, 9, 45);
         assertThat(guard.check(clock.get()).stops()).isEmpty();
-        assertThat(slots.get(0).health().isAvoided(clock.get())).isFalse();
+        assertThat(workers.get(0).health().isAvoided(clock.get())).isFalse();
     }
 
     @Test
-    void slowTasksOfOneStepAloneDoNotMakeTheirWorkerSlow()
+    void workerWithSlowTasksOfOneStepOnlyIsNotSlow()
     {
         runOnAllWorkers(FIRST);
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(500));
-        lookAtNormalWorkers(50);
-        look(0, 8);
+        heartbeatFromNormalWorkers(50);
+        heartbeat(0, 8);
         assertThat(guard.check(clock.get()).stops()).isEmpty();
     }
 
     @Test
-    void aWorkerThatTurnsSlowIsFoundThoughItsRunsBeganInTime()
+    void workerThatBecomesSlowIsDetected()
     {
         runOnAllWorkers(FIRST, SECOND);
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(500));
-        lookAtNormalWorkers(20, 20);
-        look(0, 20, 20);
+        heartbeatFromNormalWorkers(20, 20);
+        heartbeat(0, 20, 20);
         assertThat(guard.check(clock.get()).stops()).isEmpty();
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(800));
-        lookAtNormalWorkers(52, 52);
-        look(0, 24, 24);
+        heartbeatFromNormalWorkers(52, 52);
+        heartbeat(0, 24, 24);
         assertThat(guard.check(clock.get()).stops()).hasSize(2);
     }
 
     @Test
-    void aRunThatIsNearlyOverStaysOnASlowWorker()
+    void nearlyFinishedRunStaysOnSlowWorker()
     {
         runOnAllWorkers(FIRST, SECOND);
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(500));
-        lookAtNormalWorkers(30, 30);
-        look(0, 40, 40);
+        heartbeatFromNormalWorkers(30, 30);
+        heartbeat(0, 40, 40);
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(1_000));
-        lookAtNormalWorkers(90, 90);
-        look(0, 60, 60);
+        heartbeatFromNormalWorkers(90, 90);
+        heartbeat(0, 60, 60);
         assertThat(guard.check(clock.get()).stops()).isEmpty();
-        assertThat(slots.get(0).health().isAvoided(clock.get())).isTrue();
+        assertThat(workers.get(0).health().isAvoided(clock.get())).isTrue();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/TestJobs.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/TestJobs.java
@@ -24,13 +24,13 @@
 import org.gaugehollow.worker.WorkerEntry;
 import org.gaugehollow.worker.WorkerIncarnation;
 
-/** Jobs, workers and answers for the tests of this package. */
+/** Creates jobs, workers and replies for the tests of this package. */
 final class TestJobs
 {
     static final String ID = "00000000000000aa";
     static final QueueSpec QUEUE = new QueueSpec("urgent", "service", 0, 2, 250, 1.5, null);
 
-    /** Tickets of its advice are valid for half a second. */
+    /** Queue whose tickets are valid for half a second. */
     static final QueueSpec ADVISED_QUEUE = new QueueSpec("urgent", "service", 0, 2, 250, 1.5,
             new AdviceSpec(1, 0.1, 500));
 
@@ -40,7 +40,7 @@
     {
     }
 
-    /** Waits until a condition holds; false where it does not within the given time. */
+    /** Waits until a condition holds; returns false if it does not hold within the given time. */
     static boolean within(long millis, BooleanSupplier condition) throws InterruptedException
     {
         long end = SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(millis);
@@ -79,9 +79,9 @@
         return worker(WorkerIncarnation.withUnknownStart(id), cpu);
     }
 
-    static WorkerEntry worker(WorkerIncarnation life, int cpu)
+    static WorkerEntry worker(WorkerIncarnation incarnation, int cpu)
     {
-        return new WorkerEntry(life, "service", "127.0.0.1:1", "hall", false, -1,
+        return new WorkerEntry(incarnation, "service", "127.0.0.1:1", "hall", false, -1,
                 new ComputeResources(0, cpu, 32_768, 0), Set.of("a", "r1-1"), "r1-1");
     }
 
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/WeightRatesTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/WeightRatesTest.java
@@ -19,17 +19,17 @@
 import org.gaugehollow.placement.WaitingFirstScore;
 import org.junit.jupiter.api.Test;
 
-/** One customer sends several times its weight while the cell is full. */
+/** Guards against a customer that exceeds its weight delaying the jobs of others in a full cell. */
 class WeightRatesTest
 {
     private static final long NOW_NANOS = TimeUnit.SECONDS.toNanos(1_000);
     private static final int TASK_CPU = 1_000;
     private static final int SLOTS = 4;
 
-    private final CellState ledger = new CellState(() -> NOW_NANOS, 0);
-    private final Planner planner = new Planner(ledger, new NoTickets(), new WaitingFirstScore(0.5));
-    private final List<String> begun = new ArrayList<>();
-    private int jobs;
+    private final CellState cellState = new CellState(() -> NOW_NANOS, 0);
+    private final Planner planner = new Planner(cellState, new NoTickets(), new WaitingFirstScore(0.5));
+    private final List<String> startedCustomers = new ArrayList<>();
+    private int jobCount;
 
     private void configure(double weight)
     {
@@ -38,14 +38,14 @@
         {
             declared.add(new Customers.Declared(new Customer(name, weight, Customer.UNLIMITED), List.of()));
         }
-        ledger.configure(new CellConfig(1, List.of(), List.of("service"), Customers.of(declared)));
+        cellState.configure(new CellConfig(1, List.of(), List.of("service"), Customers.of(declared)));
     }
 
     private void accept(String customer, long atMillis, StepSpec step)
     {
-        jobs++;
-        ledger.accept(new JobRecord(String.format("%016x", jobs), TestJobs.QUEUE,
-                new JobSpec("text", List.of(step), 0, 0, 0), atMillis, customer), jobs, null, 0);
+        jobCount++;
+        cellState.accept(new JobRecord(String.format("%016x", jobCount), TestJobs.QUEUE,
+                new JobSpec("text", List.of(step), 0, 0, 0), atMillis, customer), jobCount, null, 0);
     }
 
     private void accept(String customer, long atMillis)
@@ -56,20 +56,16 @@
     private void plan()
     {
         planner.plan(NOW_NANOS, 0).starts()
-                .forEach(start -> begun.add(start.task().step().job().record().customer()));
+                .forEach(start -> startedCustomers.add(start.task().step().job().record().customer()));
     }
 
-    private void room(int tasks)
+    private void listWorker(int tasks)
     {
-        ledger.list(TestJobs.worker("w1", tasks * TASK_CPU)).recordHeartbeat(NOW_NANOS);
+        cellState.list(TestJobs.worker("w1", tasks * TASK_CPU)).recordHeartbeat(NOW_NANOS);
     }
 
-    /**
-     * Twelve jobs of one customer arrive before one of another; without the weights the room for four
-     * went to the first customer alone.
-     */
     @Test
-    void whatIsSentBeyondTheWeightWaitsBehindWhatOthersSendWithinTheirs()
+    void jobsBeyondWeightWaitBehindOtherCustomersJobsWithinWeight()
     {
         configure(2);
         for (int i = 0; i < 12; i++)
@@ -78,26 +74,26 @@
         }
         accept("quiet", 200);
         accept("quiet", 210);
-        room(SLOTS);
+        listWorker(SLOTS);
         plan();
-        assertThat(begun).containsExactly("loud", "loud", "quiet", "quiet");
+        assertThat(startedCustomers).containsExactly("loud", "loud", "quiet", "quiet");
     }
 
     @Test
-    void idleRoomIsUsedBeyondTheWeight()
+    void idleCapacityIsUsedBeyondWeight()
     {
         configure(2);
         for (int i = 0; i < SLOTS; i++)
         {
             accept("loud", i);
         }
-        room(SLOTS);
+        listWorker(SLOTS);
         plan();
-        assertThat(begun).hasSize(SLOTS);
+        assertThat(startedCustomers).hasSize(SLOTS);
     }
 
     @Test
-    void aCustomerThatGoesOnSendingHasItsShareInEachSecond()
+    void weightAppliesPerSecond()
     {
         configure(1);
         for (int i = 0; i < 8; i++)
@@ -105,17 +101,17 @@
             accept("loud", i * 500);
         }
         accept("quiet", 0);
-        ledger.waitingByUrgency(0);
-        long within = ledger.waitingByUrgency(0).stream().filter(job -> !job.isBeyondWeight()).count();
+        cellState.waitingByUrgency(0);
+        long within = cellState.waitingByUrgency(0).stream().filter(job -> !job.isBeyondWeight()).count();
         assertThat(within).isEqualTo(5);
     }
 
     @Test
-    void jobsThatLastAreNeverPutBack()
+    void longRunningJobsAreNeverBeyondWeight()
     {
         configure(1);
         accept("loud", 0);
         accept("loud", 1, TestJobs.longRunning(1));
-        assertThat(ledger.waitingByUrgency(0).stream().filter(Job::isBeyondWeight).count()).isEqualTo(0);
+        assertThat(cellState.waitingByUrgency(0).stream().filter(Job::isBeyondWeight).count()).isEqualTo(0);
     }
 }
