--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/CapacityReservations.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/CapacityReservations.java
@@ -31,9 +31,9 @@
     private final List<Reservation> reservations = new ArrayList<>();
 
     /** Reserves capacity for one more task of a step until the given time. */
-    void add(Step step, TrackedWorker worker, long endNanos)
+    void add(Step step, TrackedWorker worker, long expiryNanos)
     {
-        reservations.add(new Reservation(step, worker, endNanos));
+        reservations.add(new Reservation(step, worker, expiryNanos));
     }
 
     /**
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/JobOrder.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/JobOrder.java
@@ -14,11 +14,12 @@
 {
     private static final Comparator<RankedJob> BY_URGENCY = Comparator.comparing(RankedJob::tooLate)
             .thenComparing(ranked -> ranked.job().isBeyondWeight())
-            .thenComparingInt(ranked -> ranked.job().queue().priority()).thenComparing(RankedJob::overdue)
+            .thenComparingInt(ranked -> ranked.job().queue().priority())
+            .thenComparing(RankedJob::willMissObjective)
             .thenComparingLong(ranked -> ranked.job().acceptedRevision());
 
     /** A job with the sort keys that depend on the current time. */
-    private record RankedJob(Job job, boolean tooLate, boolean overdue)
+    private record RankedJob(Job job, boolean tooLate, boolean willMissObjective)
     {
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Planner.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Planner.java
@@ -83,8 +83,8 @@
     private final CapacityReservations reservations = new CapacityReservations();
     private final Preemption preemption = new Preemption(reservations);
     private AdviceBudget adviceBudget = AdviceBudget.NONE;
-    private QuotaUsage quotas;
-    private List<TrackedWorker> accepting = List.of();
+    private QuotaUsage quotaUsage;
+    private List<TrackedWorker> acceptingWorkers = List.of();
     private ComputeResources maxFree = ComputeResources.NONE;
     /** Workers reserved for the isolated run of a suspect; no other task starts there. */
     private Set<TrackedWorker> isolationWorkers = Set.of();
@@ -101,12 +101,12 @@
     {
         Plan plan = new Plan(new ArrayList<>(), new ArrayList<>(), new ArrayList<>(), new HashMap<>());
         isolationWorkers = cellState.crashGuard().isolationWorkers();
-        accepting = cellState.workers().stream()
+        acceptingWorkers = cellState.workers().stream()
                 .filter(worker -> worker.acceptsStarts() && !isolationWorkers.contains(worker)).toList();
-        quotas = QuotaUsage.of(cellState.config().customers(), cellState.workers());
-        maxFree = accepting.stream().map(TrackedWorker::free).reduce(ComputeResources.NONE,
+        quotaUsage = QuotaUsage.of(cellState.config().customers(), cellState.workers());
+        maxFree = acceptingWorkers.stream().map(TrackedWorker::free).reduce(ComputeResources.NONE,
                 ComputeResources::max);
-        adviceBudget = AdviceBudget.of(accepting);
+        adviceBudget = AdviceBudget.of(acceptingWorkers);
         reservations.removeExpired(nowNanos);
         preemption.beginRound(cellState, nowNanos, wallMillis);
         for (Job job : cellState.waitingByUrgency(wallMillis))
@@ -160,11 +160,11 @@
 
     private boolean waitsForQuota(Step step, Plan plan)
     {
-        boolean waits = !quotas.allows(step, step.tasksToStartTogether());
+        boolean waits = !quotaUsage.allows(step, step.tasksToStartTogether());
         if (waits)
         {
             String customer = step.job().record().customer();
-            plan.atQuota().put(customer, quotas.of(customer));
+            plan.atQuota().put(customer, quotaUsage.usageOf(customer));
         }
         return waits;
     }
@@ -204,7 +204,7 @@
         }
         List<TrackedWorker> preferred = new ArrayList<>();
         List<TrackedWorker> avoided = new ArrayList<>();
-        for (TrackedWorker worker : accepting)
+        for (TrackedWorker worker : acceptingWorkers)
         {
             if (worker.free().fits(step.needs()) && isEligible(step, worker) && hasCapacity(step, worker, 1))
             {
@@ -229,7 +229,7 @@
     {
         List<TrackedWorker> preferred = new ArrayList<>();
         List<TrackedWorker> avoided = new ArrayList<>();
-        for (TrackedWorker worker : accepting)
+        for (TrackedWorker worker : acceptingWorkers)
         {
             if (isEligible(step, worker))
             {
@@ -262,7 +262,9 @@
     {
         for (Task task : step.waitingTasks())
         {
-            TrackedWorker best = quotas.allows(step, 1) ? bestWorker(task, usable, Map.of(), nowNanos) : null;
+            TrackedWorker best = quotaUsage.allows(step, 1)
+                    ? bestWorker(task, usable, Map.of(), nowNanos)
+                    : null;
             if (best == null)
             {
                 return;
@@ -301,7 +303,7 @@
     private void start(Task task, int run, TrackedWorker worker, String checkpoint, Plan plan, long nowNanos)
     {
         task.order(worker, run, nowNanos);
-        quotas.add(task.step());
+        quotaUsage.add(task.step());
         if (task.isSuspect())
         {
             isolationWorkers.add(worker);
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/QuotaUsage.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/QuotaUsage.java
@@ -121,7 +121,7 @@
      * @param customer the name of a customer
      * @return its usage
      */
-    ComputeResources of(String customer)
+    ComputeResources usageOf(String customer)
     {
         Account account = accountOf(customer);
         return new ComputeResources(0, Math.toIntExact(account.cpuMillis), Math.toIntExact(account.memoryMib),
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/StallGuard.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/StallGuard.java
@@ -10,8 +10,8 @@
  */
 final class StallGuard
 {
-    private static final long STALL_NANOS = 2_500_000_000L;
-    private static final long START_NANOS = 5_000_000_000L;
+    private static final long STALL_TIMEOUT_NANOS = 2_500_000_000L;
+    private static final long START_TIMEOUT_NANOS = 5_000_000_000L;
 
     private final CellState cellState;
 
@@ -26,7 +26,7 @@
         Effects effects = new Effects();
         for (TrackedWorker worker : cellState.workers())
         {
-            if (worker.acceptsStarts() && nowNanos - worker.lastHeartbeatNanos() < STALL_NANOS / 2)
+            if (worker.acceptsStarts() && nowNanos - worker.lastHeartbeatNanos() < STALL_TIMEOUT_NANOS / 2)
             {
                 checkWorker(worker, nowNanos, effects);
             }
@@ -54,8 +54,8 @@
         }
         long sinceProgressNanos = nowNanos - task.lastProgressNanos();
         return task.step().spec().longRunning()
-                ? task.percent() < Task.FULL_PERCENT && sinceProgressNanos > START_NANOS
-                : sinceProgressNanos > STALL_NANOS;
+                ? task.percent() < Task.FULL_PERCENT && sinceProgressNanos > START_TIMEOUT_NANOS
+                : sinceProgressNanos > STALL_TIMEOUT_NANOS;
     }
 
     /** Stops a run, or the whole gang, since the other members could only wait. */
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/TaskName.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/TaskName.java
@@ -14,13 +14,13 @@
  */
 record TaskName(String job, int round, int step, int index)
 {
-    private static final int PARTS = 4;
+    private static final int PART_COUNT = 4;
 
     /** Parses a full name; returns null if the text is not one. */
     static TaskName parse(String text)
     {
         String[] parts = text.split("\\.");
-        if (parts.length != PARTS)
+        if (parts.length != PART_COUNT)
         {
             return null;
         }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerHealth.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerHealth.java
@@ -14,6 +14,7 @@
 final class WorkerHealth
 {
     private static final long NANOS_PER_MILLI = 1_000_000L;
+    /** Number of jobs with failed runs at which a worker is avoided. */
     private static final int MIN_FAILED_JOBS = 2;
     private static final long REFUSAL_AVOID_MILLIS = 500;
     private static final long FAULT_AVOID_MILLIS = 4_000;
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/CapacityPropertyTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/CapacityPropertyTest.java
@@ -64,11 +64,11 @@
                 TestJobs.step(1 + jobCount % 3, units * CPU_PER_UNIT, List.of())), 1, null, 0);
     }
 
-    private void stop(int which)
+    private void stop(int index)
     {
         if (!running.isEmpty())
         {
-            Task task = running.get(which % running.size());
+            Task task = running.get(index % running.size());
             if (task.phase() == Task.Phase.RUNNING)
             {
                 new Effects().stop(task);
@@ -76,15 +76,15 @@
         }
     }
 
-    private void end(int which)
+    private void end(int index)
     {
         if (!running.isEmpty())
         {
-            Task task = running.remove(which % running.size());
+            Task task = running.remove(index % running.size());
             endCount++;
-            RunEnd how = task.phase() == Task.Phase.STOPPING ? RunEnd.STOPPED : RunEnd.DONE;
+            RunEnd end = task.phase() == Task.Phase.STOPPING ? RunEnd.STOPPED : RunEnd.DONE;
             cellState.applyHeartbeat(worker,
-                    TestJobs.answer(runningRuns(), List.of(TestJobs.ended(endCount, task, how))),
+                    TestJobs.answer(runningRuns(), List.of(TestJobs.ended(endCount, task, end))),
                     endCount - 1, clock.get());
         }
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/QuotaPropertyTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/QuotaPropertyTest.java
@@ -74,30 +74,30 @@
         }
 
         /** Ends a run, and its whole gang if all members are running. */
-        private void end(int which, RunEnd how)
+        private void end(int index, RunEnd end)
         {
             List<String> names = running.keySet().stream().sorted().toList();
             if (names.isEmpty())
             {
                 return;
             }
-            Planner.Start start = running.get(names.get(which % names.size()));
+            Planner.Start start = running.get(names.get(index % names.size()));
             if (start.task().step().spec().gang())
             {
-                endGang(start, how);
+                endGang(start, end);
             }
             else
             {
-                endOne(start, how);
+                endOne(start, end);
             }
         }
 
         /** Ends a run; the next heartbeat reports it. */
-        private void endOne(Planner.Start start, RunEnd how)
+        private void endOne(Planner.Start start, RunEnd end)
         {
             running.remove(start.task().name());
             endCount++;
-            ended.add(new EndedRun(endCount, start.task().name(), start.run(), how, ""));
+            ended.add(new EndedRun(endCount, start.task().name(), start.run(), end, ""));
         }
 
         private void heartbeat()
@@ -143,7 +143,7 @@
     private long version = 1;
 
     /** Ends a whole gang, because its members only run together. */
-    private void endGang(Planner.Start first, RunEnd how)
+    private void endGang(Planner.Start first, RunEnd end)
     {
         Map<Planner.Start, SimulatedWorker> members = new HashMap<>();
         for (SimulatedWorker worker : workers)
@@ -157,8 +157,8 @@
         {
             return;
         }
-        RunEnd others = how == RunEnd.DONE ? RunEnd.DONE : RunEnd.BROKEN;
-        members.forEach((start, worker) -> worker.endOne(start, start == first ? how : others));
+        RunEnd otherEnd = end == RunEnd.DONE ? RunEnd.DONE : RunEnd.BROKEN;
+        members.forEach((start, worker) -> worker.endOne(start, start == first ? end : otherEnd));
     }
 
     private static String startKey(Planner.Start start)
@@ -213,7 +213,7 @@
         accepted.forEach(record -> cellState.accept(record, 1, recorded.get(record.id()), 0));
         for (SimulatedWorker worker : workers)
         {
-            list(worker);
+            listWorker(worker);
             worker.heartbeat();
         }
     }
@@ -224,7 +224,7 @@
         return first == null ? Optional.empty() : Optional.of(first.step().job().progress());
     }
 
-    private void list(SimulatedWorker worker)
+    private void listWorker(SimulatedWorker worker)
     {
         cellState.list(TestJobs.worker(worker.id, CAPACITY_UNITS * CPU_PER_UNIT));
     }
@@ -316,7 +316,7 @@
             workers.add(new SimulatedWorker("w" + i));
         }
         startOwner();
-        workers.forEach(this::list);
+        workers.forEach(this::listWorker);
         for (int number : events)
         {
             clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(100));
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/TestJobs.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/TestJobs.java
@@ -100,13 +100,13 @@
         return new RunningRun(task.name(), run, "", 10, 0);
     }
 
-    static EndedRun ended(long number, Task task, RunEnd how)
+    static EndedRun ended(long number, Task task, RunEnd end)
     {
-        return ended(number, task, task.run(), how);
+        return ended(number, task, task.run(), end);
     }
 
-    static EndedRun ended(long number, Task task, int run, RunEnd how)
+    static EndedRun ended(long number, Task task, int run, RunEnd end)
     {
-        return new EndedRun(number, task.name(), run, how, "");
+        return new EndedRun(number, task.name(), run, end, "");
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/WorkerGuardsTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/WorkerGuardsTest.java
@@ -29,10 +29,10 @@
     private final CellState cellState = new CellState(clock::get, 0);
     private final TrackedWorker worker = cellState.list(TestJobs.worker("w1", 64_000));
 
-    private static StepSpec serving(int count, long target, boolean fills)
+    private static StepSpec longRunning(int count, long target, boolean bestEffort)
     {
         return new StepSpec(count, 100, 100, 0, 800, List.of(), true, false, false, null, null, 0, false,
-                !fills, "x", target, fills, 1);
+                !bestEffort, "x", target, bestEffort, 1);
     }
 
     private static StepSpec checkpointing()
@@ -69,7 +69,7 @@
     @Test
     void longRunningTaskLeavesDrainingWorker()
     {
-        Task task = startRunning(serving(1, 0, false), TestJobs.ID);
+        Task task = startRunning(longRunning(1, 0, false), TestJobs.ID);
         heartbeat(task, 100, 0);
         Evacuation evacuation = new Evacuation(cellState);
         assertThat(evacuation.evacuate(clock.get()).stops()).isEmpty();
@@ -110,8 +110,8 @@
     @Test
     void bestEffortTasksAreThrottledNearTheServingTarget()
     {
-        Task serving = startRunning(serving(1, 100, false), TestJobs.ID);
-        Task bestEffort = startRunning(serving(1, 0, true), "00000000000000bb");
+        Task serving = startRunning(longRunning(1, 100, false), TestJobs.ID);
+        Task bestEffort = startRunning(longRunning(1, 0, true), "00000000000000bb");
         serving.observe(100, 50, clock.get());
         assertThat(ThrottleController.adjust(worker, clock.get())).isEmpty();
         serving.observe(100, 90, clock.get());
