--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceCandidates.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceCandidates.java
@@ -20,7 +20,7 @@
  */
 final class AdviceCandidates
 {
-    /** Number of workers in a typical call, for which the objective of a step allows time. */
+    /** Minimum number of workers per call; the objective of a step allows time for as many. */
     private static final int MIN_WORKERS = 30;
     /** Maximum number of workers per call that the service accepts. */
     private static final int MAX_WORKERS = 100;
@@ -36,7 +36,7 @@
      * Creates the selection for a step.
      *
      * @param step the step
-     * @param allowedWorkers the incarnations of workers that are known to be allowed for it
+     * @param allowedWorkers the ids of workers that are known to be allowed for it
      */
     AdviceCandidates(Step step, Set<String> allowedWorkers)
     {
