--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceCache.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceCache.java
@@ -17,69 +17,71 @@
 import org.gaugehollow.worker.Advice;
 
 /**
- * Keeps the advice service's answers. Which workers may run a step never changes, so only those are
- * asked for again when tickets run out. Guarded by the ledger's monitor.
+ * Caches the replies of the advice service. The set of workers that may run a step never changes,
+ * so only allowed workers are queried again when their tickets expire. Guarded by the lock of the
+ * cell state.
  */
 final class AdviceCache implements Planner.Tickets
 {
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    /** How much before its end a ticket is no longer used, so that a start arrives in time. */
-    private static final long MARGIN_MILLIS = 150;
-    private static final long PAUSE_AFTER_FAULT_NANOS = 100_000_000L;
+    /** Tickets are not used within this time of their expiry, so that a start arrives in time. */
+    private static final long EXPIRY_MARGIN_MILLIS = 150;
+    private static final long RETRY_DELAY_NANOS = 100_000_000L;
 
-    /** A ticket and when it ends. */
-    private record HeldTicket(String text, long endNanos)
+    /** A ticket and the monotonic time of its expiry. */
+    private record CachedTicket(String text, long endNanos)
     {
     }
 
-    /** What is known of one step. */
+    /** The advice for one step. */
     private static final class StepAdvice
     {
-        /** By life of a worker. */
-        private final Map<String, HeldTicket> healthy = new HashMap<>();
-        private final Set<String> asked = new HashSet<>();
-        private boolean asking;
-        private long notBeforeNanos = Long.MIN_VALUE;
-        /** When the newest tickets end. */
-        private long endNanos = SteadyClock.nanos();
+        /** Newest ticket of each allowed worker, by incarnation. */
+        private final Map<String, CachedTicket> allowed = new HashMap<>();
+        private final Set<String> judged = new HashSet<>();
+        private boolean isRequestPending;
+        private long retryNotBeforeNanos = Long.MIN_VALUE;
+        /** Expiry of the newest tickets. */
+        private long ticketsEndNanos = SteadyClock.nanos();
     }
 
-    private final CellState ledger;
-    private final AdviceDispatcher lines;
-    private final Runnable onAnswer;
+    private final CellState cellState;
+    private final AdviceDispatcher dispatcher;
+    private final Runnable onReply;
     private final Map<String, StepAdvice> steps = new HashMap<>();
 
     private volatile boolean closed;
 
-    AdviceCache(CellState ledger, AdviceDispatcher lines, Runnable onAnswer)
+    AdviceCache(CellState cellState, AdviceDispatcher dispatcher, Runnable onReply)
     {
-        this.ledger = ledger;
-        this.lines = lines;
-        this.onAnswer = onAnswer;
+        this.cellState = cellState;
+        this.dispatcher = dispatcher;
+        this.onReply = onReply;
     }
 
     @Override
-    public Optional<String> ticket(Step step, TrackedWorker slot)
+    public Optional<String> ticket(Step step, TrackedWorker worker)
     {
         StepAdvice advice = steps.get(step.name());
-        HeldTicket held = advice == null ? null : advice.healthy.get(slot.id());
-        boolean valid = held != null && SteadyClock.nanos() - held.endNanos < 0;
-        return valid ? Optional.of(held.text) : Optional.empty();
+        CachedTicket cached = advice == null ? null : advice.allowed.get(worker.id());
+        boolean isValid = cached != null && SteadyClock.nanos() - cached.endNanos < 0;
+        return isValid ? Optional.of(cached.text) : Optional.empty();
     }
 
     @Override
-    public boolean isDenied(Step step, TrackedWorker slot)
+    public boolean isDenied(Step step, TrackedWorker worker)
     {
         StepAdvice advice = steps.get(step.name());
-        return advice != null && advice.asked.contains(slot.id()) && !advice.healthy.containsKey(slot.id());
+        return advice != null && advice.judged.contains(worker.id())
+                && !advice.allowed.containsKey(worker.id());
     }
 
     @Override
-    public boolean isAllowed(Step step, TrackedWorker slot)
+    public boolean isAllowed(Step step, TrackedWorker worker)
     {
         StepAdvice advice = steps.get(step.name());
-        boolean free = step.job().queue().adviceIfNeeded().isEmpty();
-        return free || advice != null && advice.healthy.containsKey(slot.id());
+        boolean needsNoAdvice = step.job().queue().adviceIfNeeded().isEmpty();
+        return needsNoAdvice || advice != null && advice.allowed.containsKey(worker.id());
     }
 
     @Override
@@ -91,123 +93,124 @@
             return false;
         }
         double callMillis = step.job().queue().adviceIfNeeded().orElseThrow()
-                .expectedMillis(advice.healthy.size());
-        return advice.endNanos - SteadyClock.nanos() > (long) (callMillis * NANOS_PER_MILLI);
+                .expectedMillis(advice.allowed.size());
+        return advice.ticketsEndNanos - SteadyClock.nanos() > (long) (callMillis * NANOS_PER_MILLI);
     }
 
-    /** A worker turned a ticket down. */
-    void drop(Step step, TrackedWorker slot)
+    /** Discards a ticket that a worker rejected. The worker remains allowed. */
+    void discardTicket(Step step, TrackedWorker worker)
     {
         StepAdvice advice = steps.get(step.name());
-        if (advice != null && advice.healthy.containsKey(slot.id()))
+        if (advice != null && advice.allowed.containsKey(worker.id()))
         {
-            advice.healthy.put(slot.id(), new HeldTicket("", Long.MIN_VALUE / 2));
+            advice.allowed.put(worker.id(), new CachedTicket("", Long.MIN_VALUE / 2));
         }
     }
 
     /**
-     * Asks nothing more: the term is over, and the service answers a box's calls in turn. Beside calls
-     * of terms that were over 66 of a day's 400 jobs never began, for want of advice.
+     * Stops further requests when the term ends. The service handles the calls of a box one at a time,
+     * so calls of an ended term would delay those of the current one.
      */
     void close()
     {
         closed = true;
     }
 
-    /** Forgets what is known of a job's steps. */
+    /** Evicts the advice for the steps of a job. */
     void forget(Job job)
     {
         job.steps().forEach(step -> steps.remove(step.name()));
     }
 
-    /** Asks for a step's tickets, unless that is under way. */
+    /** Requests tickets for a step unless a request is pending. */
     void request(Step step)
     {
         StepAdvice advice = steps.computeIfAbsent(step.name(), key -> new StepAdvice());
-        boolean early = advice.notBeforeNanos != Long.MIN_VALUE
-                && SteadyClock.nanos() - advice.notBeforeNanos < 0;
-        if (advice.asking || early)
+        boolean isTooEarly = advice.retryNotBeforeNanos != Long.MIN_VALUE
+                && SteadyClock.nanos() - advice.retryNotBeforeNanos < 0;
+        if (advice.isRequestPending || isTooEarly)
         {
             return;
         }
-        List<TrackedWorker> workers = workersToAsk(step, advice);
+        List<TrackedWorker> workers = candidates(step, advice);
         if (workers.isEmpty())
         {
             return;
         }
-        advice.asking = true;
+        advice.isRequestPending = true;
         AdviceSpec spec = step.job().queue().adviceIfNeeded().orElseThrow();
-        Thread.ofVirtual().name("advice-" + step.name()).start(() -> ask(step, advice, workers, spec));
+        Thread.ofVirtual().name("advice-" + step.name())
+                .start(() -> requestAdvice(step, advice, workers, spec));
     }
 
-    private List<TrackedWorker> workersToAsk(Step step, StepAdvice advice)
+    private List<TrackedWorker> candidates(Step step, StepAdvice advice)
     {
         List<TrackedWorker> workers = new ArrayList<>();
-        for (TrackedWorker slot : ledger.workers())
+        for (TrackedWorker worker : cellState.workers())
         {
-            boolean service = slot.acceptsStarts()
-                    && slot.entry().service().equals(step.job().queue().service());
-            if (service && step.hasLabel(slot.entry()) && !isDenied(step, slot))
+            boolean hasService = worker.acceptsStarts()
+                    && worker.entry().service().equals(step.job().queue().service());
+            if (hasService && step.hasLabel(worker.entry()) && !isDenied(step, worker))
             {
-                workers.add(slot);
+                workers.add(worker);
             }
         }
-        return new AdviceCandidates(step, advice.healthy.keySet()).choose(workers);
+        return new AdviceCandidates(step, advice.allowed.keySet()).choose(workers);
     }
 
-    private void ask(Step step, StepAdvice advice, List<TrackedWorker> workers, AdviceSpec spec)
+    private void requestAdvice(Step step, StepAdvice advice, List<TrackedWorker> workers, AdviceSpec spec)
     {
-        List<String> ids = workers.stream().map(TrackedWorker::worker).toList();
+        List<String> ids = workers.stream().map(TrackedWorker::workerId).toList();
         AdviceDispatcher.Call call = new AdviceDispatcher.Call(step.name(), ids,
                 spec.expectedMillis(workers.size()), step.job().queue().priority(),
                 step.job().acceptedRevision());
-        Optional<Advice> answer = Optional.empty();
+        Optional<Advice> reply = Optional.empty();
         try
         {
-            answer = lines.advise(call, () -> isWanted(step));
+            reply = dispatcher.advise(call, () -> isWanted(step));
         }
         catch (InterruptedException e)
         {
             Thread.currentThread().interrupt();
         }
-        synchronized (ledger)
+        synchronized (cellState)
         {
-            take(advice, workers, answer, spec);
+            recordReply(advice, workers, reply, spec);
         }
-        onAnswer.run();
+        onReply.run();
     }
 
     private boolean isWanted(Step step)
     {
-        synchronized (ledger)
+        synchronized (cellState)
         {
             return !closed && !step.job().state().isFinal() && step.hasWaiting();
         }
     }
 
-    /** What the service says of a worker holds for its present life alone. */
-    private static void take(StepAdvice advice, List<TrackedWorker> workers, Optional<Advice> answer,
+    /** Stores the reply of the service. It applies only to the current incarnations of the workers. */
+    private static void recordReply(StepAdvice advice, List<TrackedWorker> workers, Optional<Advice> reply,
             AdviceSpec spec)
     {
-        long now = SteadyClock.nanos();
-        advice.asking = false;
-        if (answer.isEmpty())
+        long nowNanos = SteadyClock.nanos();
+        advice.isRequestPending = false;
+        if (reply.isEmpty())
         {
-            advice.notBeforeNanos = now + PAUSE_AFTER_FAULT_NANOS;
+            advice.retryNotBeforeNanos = nowNanos + RETRY_DELAY_NANOS;
             return;
         }
-        Map<String, String> livesByWorker = new HashMap<>();
-        workers.forEach(slot -> livesByWorker.put(slot.worker(), slot.id()));
-        advice.asked.addAll(livesByWorker.values());
-        long valid = answer.get().validMillis() > 0 ? answer.get().validMillis() : spec.validMillis();
-        long end = now + (valid - MARGIN_MILLIS) * NANOS_PER_MILLI;
-        advice.endNanos = end;
-        for (Advice.Ticket ticket : answer.get().tickets())
+        Map<String, String> incarnationsByWorker = new HashMap<>();
+        workers.forEach(worker -> incarnationsByWorker.put(worker.workerId(), worker.id()));
+        advice.judged.addAll(incarnationsByWorker.values());
+        long validMillis = reply.get().validMillis() > 0 ? reply.get().validMillis() : spec.validMillis();
+        long endNanos = nowNanos + (validMillis - EXPIRY_MARGIN_MILLIS) * NANOS_PER_MILLI;
+        advice.ticketsEndNanos = endNanos;
+        for (Advice.Ticket ticket : reply.get().tickets())
         {
-            String life = livesByWorker.get(ticket.worker());
-            if (life != null)
+            String incarnation = incarnationsByWorker.get(ticket.worker());
+            if (incarnation != null)
             {
-                advice.healthy.put(life, new HeldTicket(ticket.text(), end));
+                advice.allowed.put(incarnation, new CachedTicket(ticket.text(), endNanos));
             }
         }
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceDispatcher.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceDispatcher.java
@@ -20,137 +20,138 @@
 import org.gaugehollow.worker.AdvicePort;
 
 /**
- * The boxes' lines to the advice service. The service handles the calls of one box in turn, so each
- * line carries one call at a time and the others wait here, the most urgent first. The owner's own
- * line is kept for short calls, so that urgent work never waits behind a long one.
+ * Dispatches calls to the advice service over the channels of the boxes. The service handles the
+ * calls of one box one at a time, so each channel carries one call and the others are queued by
+ * priority. The channel of the owner is reserved for short calls, so that urgent work does not wait
+ * behind a long one.
  */
 public final class AdviceDispatcher
 {
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final long FAULT_MILLIS = 1_000;
-    private static final int SLACK_MILLIS = 400;
-    private static final int TRIES = 4;
-    private static final double SHORT_MILLIS = 120;
+    private static final long FAULT_BACKOFF_MILLIS = 1_000;
+    private static final int TIMEOUT_SLACK_MILLIS = 400;
+    private static final int MAX_ATTEMPTS = 4;
+    private static final double MAX_SHORT_CALL_MILLIS = 120;
 
     /**
-     * A call that waits for a line.
+     * A call that waits for a channel.
      *
-     * @param step the step's full name
-     * @param workers the workers to judge
-     * @param expectedMillis how long the service needs for it
-     * @param priority 0 goes first
-     * @param order among calls of one priority, the lower goes first
+     * @param step the full name of the step
+     * @param workers the ids of the workers to judge
+     * @param expectedMillis expected duration in milliseconds
+     * @param priority 0 is the most urgent
+     * @param order rank among calls of the same priority, lowest first
      */
     record Call(String step, List<String> workers, double expectedMillis, int priority, long order)
     {
         boolean isShort()
         {
-            return expectedMillis <= SHORT_MILLIS;
+            return expectedMillis <= MAX_SHORT_CALL_MILLIS;
         }
     }
 
-    /** One box's line. */
-    private static final class Line
+    /** The channel of one box. */
+    private static final class Channel
     {
         private final AdvicePort port;
-        private final boolean own;
+        private final boolean isOwn;
         private boolean busy;
-        private long faultUntilNanos = SteadyClock.nanos();
+        private long unusableUntilNanos = SteadyClock.nanos();
 
-        Line(AdvicePort port, boolean own)
+        Channel(AdvicePort port, boolean isOwn)
         {
             this.port = port;
-            this.own = own;
+            this.isOwn = isOwn;
         }
 
-        boolean isFree(Call call, int lines)
+        boolean isFree(Call call, int channelCount)
         {
-            boolean allowed = !own || call.isShort() || lines == 1;
-            return allowed && !busy && SteadyClock.nanos() - faultUntilNanos >= 0;
+            boolean isAllowed = !isOwn || call.isShort() || channelCount == 1;
+            return isAllowed && !busy && SteadyClock.nanos() - unusableUntilNanos >= 0;
         }
     }
 
-    private final Map<String, Line> lines = new LinkedHashMap<>();
+    private final Map<String, Channel> channels = new LinkedHashMap<>();
     private final TreeSet<Call> waiting = new TreeSet<>(
             Comparator.comparingInt(Call::priority).thenComparingLong(Call::order).thenComparing(Call::step));
     private final EventLog events;
 
     /**
-     * @param own this box's line
-     * @param events where faults of lines are recorded
+     * @param ownPort the port of this box
+     * @param events records failed calls
      */
-    public AdviceDispatcher(AdvicePort own, EventLog events)
+    public AdviceDispatcher(AdvicePort ownPort, EventLog events)
     {
         this.events = events;
-        lines.put("", new Line(own, true));
+        channels.put("", new Channel(ownPort, true));
     }
 
     /**
-     * @param box another box's id
-     * @param port its line
+     * @param box the id of another box
+     * @param port its port
      */
     public synchronized void add(String box, AdvicePort port)
     {
-        lines.putIfAbsent(box, new Line(port, false));
+        channels.putIfAbsent(box, new Channel(port, false));
         notifyAll();
     }
 
-    /** @param box a box that is gone */
+    /** @param box the id of the box to remove */
     public synchronized void remove(String box)
     {
-        lines.remove(box);
+        channels.remove(box);
     }
 
     /**
-     * Waits for a line and asks; a line that fails is left out for a while and the call goes to
-     * another.
+     * Waits for a channel and sends the call. After a failure the channel is not used for a while and
+     * the call is repeated on another one.
      *
-     * @param call what to ask
-     * @param isWanted whether the answer is still of use, asked when the call's turn comes
-     * @return the advice, or empty if it was no longer wanted or no line gave an answer
+     * @param call the call to send
+     * @param isWanted whether the advice is still needed, evaluated when a channel is available
+     * @return the advice, or empty if it is no longer needed or no channel returned a reply
      * @throws InterruptedException if the process stops
      */
     Optional<Advice> advise(Call call, BooleanSupplier isWanted) throws InterruptedException
     {
-        for (int i = 0; i < TRIES; i++)
+        for (int i = 0; i < MAX_ATTEMPTS; i++)
         {
-            Line line = take(call);
+            Channel channel = acquire(call);
             try
             {
                 if (!isWanted.getAsBoolean())
                 {
                     return Optional.empty();
                 }
-                int timeout = (int) (call.expectedMillis() * 2) + SLACK_MILLIS;
-                return Optional.of(line.port.advise(call.step(), call.workers(), timeout));
+                int timeoutMillis = (int) (call.expectedMillis() * 2) + TIMEOUT_SLACK_MILLIS;
+                return Optional.of(channel.port.advise(call.step(), call.workers(), timeoutMillis));
             }
             catch (GaugehollowException e)
             {
                 events.record(EventType.ADVICE_MISSING, call.step(), e.getMessage());
-                fault(line);
+                markFaulty(channel);
             }
             finally
             {
-                giveBack(line);
+                release(channel);
             }
         }
         return Optional.empty();
     }
 
-    private synchronized Line take(Call call) throws InterruptedException
+    private synchronized Channel acquire(Call call) throws InterruptedException
     {
         waiting.add(call);
         try
         {
             while (true)
             {
-                Line line = freeLine(call);
-                if (line != null && !isBehindAnother(call, line))
+                Channel channel = findFreeChannel(call);
+                if (channel != null && !hasPrecedingCall(call, channel))
                 {
-                    line.busy = true;
-                    return line;
+                    channel.busy = true;
+                    return channel;
                 }
-                wait(FAULT_MILLIS / 2);
+                wait(FAULT_BACKOFF_MILLIS / 2);
             }
         }
         finally
@@ -160,23 +161,23 @@
         }
     }
 
-    private Line freeLine(Call call)
+    private Channel findFreeChannel(Call call)
     {
-        for (Line line : lines.values())
+        for (Channel channel : channels.values())
         {
-            if (line.isFree(call, lines.size()))
+            if (channel.isFree(call, channels.size()))
             {
-                return line;
+                return channel;
             }
         }
         return null;
     }
 
-    private boolean isBehindAnother(Call call, Line line)
+    private boolean hasPrecedingCall(Call call, Channel channel)
     {
         for (Call other : waiting.headSet(call))
         {
-            if (line.isFree(other, lines.size()))
+            if (channel.isFree(other, channels.size()))
             {
                 return true;
             }
@@ -184,14 +185,14 @@
         return false;
     }
 
-    private synchronized void giveBack(Line line)
+    private synchronized void release(Channel channel)
     {
-        line.busy = false;
+        channel.busy = false;
         notifyAll();
     }
 
-    private synchronized void fault(Line line)
+    private synchronized void markFaulty(Channel channel)
     {
-        line.faultUntilNanos = SteadyClock.nanos() + FAULT_MILLIS * NANOS_PER_MILLI;
+        channel.unusableUntilNanos = SteadyClock.nanos() + FAULT_BACKOFF_MILLIS * NANOS_PER_MILLI;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/CrashGuard.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/CrashGuard.java
@@ -17,246 +17,258 @@
 import org.gaugehollow.job.CrashHistory.Crash;
 
 /**
- * Finds the tasks that crash the workers that start them, and gives them up. Without it one such
- * task crashed 178 workers in 106 s; in a simulated cell of 8 workers with 12 such tasks, 129
- * crashed in 52 s, with it 27, and all 228 good tasks ended well.
+ * Detects poison tasks, which crash the workers that start them, and selects them to be failed.
  * <p>
- * A crash ends all runs of the worker, and one of them did it. Those that had just begun are
- * suspects: each is tried on a worker on which nothing else begins until it has outlived its start,
- * so that a further crash names one task alone. Bystanders outlive their trial and go on.
+ * A crash ends all runs of a worker, although only one of them caused it. Runs that had just
+ * started become suspects. Each suspect is then run in isolation: nothing else starts on its worker
+ * until it has survived its start, so that another crash can be attributed to one task.
  * <p>
- * Not thread-safe; used under the ledger's lock.
+ * Not thread-safe; guarded by the lock of the cell state.
  */
 final class CrashGuard
 {
     /**
-     * So many workers have to crash under a task before it is given up, if at the last one nothing else
-     * had just begun there. One crash may be the worker's own; the users name two.
+     * Number of crashes that confirms a poison task if no other run had just started at the last of
+     * them. A single crash may be the fault of the worker.
      */
-    static final int FEWEST_CRASHES = 2;
-    /** So many crashes under runs that had surely begun suffice whatever else had begun there. */
-    static final int MOST_CRASHES = 3;
+    static final int ISOLATED_CRASH_THRESHOLD = 2;
     /**
-     * So many crashes suffice if some are not proven, or another task was given up for them. The users
-     * bear two more starts after the third crash, which leaves room for one that no owner learns of.
+     * Number of crashes under runs that had certainly started that confirms a poison task, regardless
+     * of other runs.
      */
-    static final int MOST_IN_ALL = 4;
+    static final int ATTRIBUTED_CRASH_THRESHOLD = 3;
     /**
-     * A run that was at work for so long, in milliseconds, has outlived its start. Tasks that crash
-     * their workers did so within 10 ms; looks at a worker with a suspect are at most 500 ms apart.
+     * Number of crashes that confirms a poison task if some of them are unproven or explained by
+     * another task.
      */
+    static final int TOTAL_CRASH_THRESHOLD = 4;
+    /** Run time after which a run has survived its start. */
     static final long TRIAL_MILLIS = 250;
-    /** A run that was seen at work for so long, in milliseconds, clears its task of all suspicion. */
-    static final long CLEARED_MILLIS = 10_000;
+    /** Observed run time after which the crash history of a task is cleared. */
+    static final long CLEAR_AFTER_MILLIS = 10_000;
 
     private final TrackedWorkers workers;
-    private final RecentCrashes moments;
-    /** The tasks with a history, until they are cleared or their jobs are over. */
-    private final Set<Task> tracked = new LinkedHashSet<>();
+    private final RecentCrashes recentCrashes;
+    /** Tasks with a crash history, until they are cleared or their jobs end. */
+    private final Set<Task> trackedTasks = new LinkedHashSet<>();
 
     CrashGuard(TrackedWorkers workers)
     {
         this.workers = workers;
-        this.moments = new RecentCrashes(workers);
+        this.recentCrashes = new RecentCrashes(workers);
     }
 
-    /** Follows a task that an earlier owner has recorded with a history. */
+    /** Tracks a task whose crash history was recorded by an earlier owner. */
     void onTaskRestored(Task task)
     {
         if (!task.crashes().isEmpty())
         {
-            tracked.add(task);
+            trackedTasks.add(task);
         }
     }
 
-    /** Whether a run may be left on a silent worker for another copy: one unproven crash at a time. */
-    boolean mayAbandonRun(Task task, TrackedWorker slot)
+    /**
+     * Returns whether a run on an unresponsive worker may be abandoned in favour of another run. A task
+     * may have only one unproven crash at a time.
+     */
+    boolean mayAbandonRun(Task task, TrackedWorker worker)
     {
-        return task.crashes().isEmpty() || !UnresponsiveRun.of(task, slot).hadJustStarted();
+        return task.crashes().isEmpty() || !UnresponsiveRun.of(task, worker).hadJustStarted();
     }
 
-    /** A run is left on a silent worker, and another copy may start elsewhere. */
-    void onRunAbandoned(Task task, TrackedWorker slot)
+    /**
+     * Records that a run on an unresponsive worker was abandoned, so that its task may start elsewhere.
+     */
+    void onRunAbandoned(Task task, TrackedWorker worker)
     {
-        UnresponsiveRun run = UnresponsiveRun.of(task, slot);
-        slot.addAbandonedRun(run);
+        UnresponsiveRun run = UnresponsiveRun.of(task, worker);
+        worker.addAbandonedRun(run);
         if (run.hadJustStarted())
         {
-            note(task, slot, Attribution.UNPROVEN);
+            recordCrash(task, worker, Attribution.UNPROVEN);
         }
     }
 
-    /** A worker answers, so it has not crashed. */
-    void onWorkerResponded(TrackedWorker slot)
+    /** Withdraws the suspicion against the runs that were abandoned on a worker that responds again. */
+    void onWorkerResponded(TrackedWorker worker)
     {
-        slot.removeAbandonedRuns().forEach(run -> acquit(run.task(), slot));
+        worker.removeAbandonedRuns().forEach(run -> removeCrash(run.task(), worker));
     }
 
     /**
-     * A worker's runs are over; comes before its tasks are released.
+     * Records that all runs of a worker have ended. Must be called before its tasks are released.
      *
-     * @return the tasks that surely crash their workers; the others are judged once these are given up
+     * @return the tasks that are certainly poison; the remaining tasks are judged after these have been
+     *         failed
      */
-    List<Task> onWorkerLost(TrackedWorker slot, WorkerLossCause end, Effects effects)
+    List<Task> onWorkerLost(TrackedWorker worker, WorkerLossCause cause, Effects effects)
     {
-        return switch (end)
+        return switch (cause)
         {
-            case CRASHED -> crashed(slot, effects);
+            case CRASHED -> handleCrash(worker, effects);
             case LAPSED -> {
-                lapsed(slot);
+                handleLeaseExpired(worker);
                 yield List.of();
             }
             case LEFT -> {
-                onWorkerResponded(slot);
+                onWorkerResponded(worker);
                 yield List.of();
             }
         };
     }
 
     /**
-     * What has just begun on a worker is blamed for its crash; what had been at work there for longer
-     * only where nothing has. Else two of four tasks that last were given up for the crashes of others,
-     * in a simulated cell of three workers with a harmful task each five seconds. Nor is it blamed
-     * where several workers crash together.
+     * Attributes a crash to the runs that had just started on the worker. Longer runs are only
+     * suspected if no run had just started and the crash is not correlated with others; otherwise
+     * long-running tasks would be failed for the crashes of their neighbours.
      */
-    private List<Task> crashed(TrackedWorker slot, Effects effects)
+    private List<Task> handleCrash(TrackedWorker worker, Effects effects)
     {
-        List<UnresponsiveRun> runs = slot.removeAbandonedRuns();
+        List<UnresponsiveRun> runs = worker.removeAbandonedRuns();
         runs.removeIf(run -> run.task().phase() == Task.Phase.DONE);
         runs.forEach(run -> effects.changed(run.task().step().job()));
-        runs.addAll(runsOn(slot));
-        boolean isOneOfMany = moments.isCorrelated(slot);
-        moments.add(slot);
-        long justBegun = runs.stream().filter(UnresponsiveRun::hadJustStarted).count();
-        List<Task> guilty = new ArrayList<>();
+        runs.addAll(possiblyStartedRuns(worker));
+        boolean isCorrelated = recentCrashes.isCorrelated(worker);
+        recentCrashes.add(worker);
+        long justStartedCount = runs.stream().filter(UnresponsiveRun::hadJustStarted).count();
+        List<Task> poisonTasks = new ArrayList<>();
         for (UnresponsiveRun run : runs)
         {
-            boolean isBlamed = run.hadJustStarted() || justBegun == 0 && !isOneOfMany;
-            if (isBlamed && run.lastedMillis() < CLEARED_MILLIS)
+            boolean isSuspected = run.hadJustStarted() || justStartedCount == 0 && !isCorrelated;
+            if (isSuspected && run.durationMillis() < CLEAR_AFTER_MILLIS)
             {
-                note(run.task(), slot, run.attribution());
+                recordCrash(run.task(), worker, run.attribution());
             }
-            boolean isAlone = run.hadJustStarted() && justBegun == 1;
-            if (isProven(run.task()) || isAlone && isRepeated(run.task()))
+            boolean startedAlone = run.hadJustStarted() && justStartedCount == 1;
+            if (hasEnoughAttributedCrashes(run.task())
+                    || startedAlone && hasEnoughIsolatedCrashes(run.task()))
             {
-                guilty.add(run.task());
+                poisonTasks.add(run.task());
             }
         }
-        return guilty;
+        return poisonTasks;
     }
 
-    private void lapsed(TrackedWorker slot)
+    private void handleLeaseExpired(TrackedWorker worker)
     {
-        runsOn(slot).stream().filter(UnresponsiveRun::hadJustStarted)
-                .forEach(run -> note(run.task(), slot, Attribution.UNPROVEN));
+        possiblyStartedRuns(worker).stream().filter(UnresponsiveRun::hadJustStarted)
+                .forEach(run -> recordCrash(run.task(), worker, Attribution.UNPROVEN));
     }
 
-    /** The runs that may have begun on a worker and were not left there. */
-    private static List<UnresponsiveRun> runsOn(TrackedWorker slot)
+    /** Returns the runs that may have started on a worker and were not abandoned. */
+    private static List<UnresponsiveRun> possiblyStartedRuns(TrackedWorker worker)
     {
-        return slot.tasks().stream().filter(Task::mayHaveBegun).map(task -> UnresponsiveRun.of(task, slot))
-                .toList();
+        return worker.tasks().stream().filter(Task::mayHaveBegun)
+                .map(task -> UnresponsiveRun.of(task, worker)).toList();
     }
 
-    private void note(Task task, TrackedWorker slot, Attribution evidence)
+    private void recordCrash(Task task, TrackedWorker worker, Attribution attribution)
     {
         if (!task.step().job().state().isFinal())
         {
-            task.setCrashes(task.crashes().with(slot.id(), evidence));
-            tracked.add(task);
+            task.setCrashes(task.crashes().with(worker.id(), attribution));
+            trackedTasks.add(task);
         }
     }
 
-    private static void acquit(Task task, TrackedWorker slot)
+    private static void removeCrash(Task task, TrackedWorker worker)
     {
-        task.setCrashes(task.crashes().without(slot.id()));
+        task.setCrashes(task.crashes().without(worker.id()));
     }
 
-    /** Whether enough workers have crashed under a task, if nothing else had just begun there. */
-    private static boolean isRepeated(Task task)
+    /**
+     * Returns whether a task has enough crashes to be confirmed as the only run that had just started.
+     */
+    private static boolean hasEnoughIsolatedCrashes(Task task)
     {
-        return task.crashes().count(Attribution.AT_START) >= FEWEST_CRASHES;
+        return task.crashes().count(Attribution.AT_START) >= ISOLATED_CRASH_THRESHOLD;
     }
 
-    /** Whether enough workers have crashed under a task, whatever else had begun there. */
-    private static boolean isProven(Task task)
+    /** Returns whether a task has enough attributed crashes, regardless of other runs. */
+    private static boolean hasEnoughAttributedCrashes(Task task)
     {
-        return provenCrashes(task) >= MOST_CRASHES;
+        return attributedCrashCount(task) >= ATTRIBUTED_CRASH_THRESHOLD;
     }
 
-    private static int provenCrashes(Task task)
+    private static int attributedCrashCount(Task task)
     {
         return task.crashes().count(Attribution.AT_START) + task.crashes().count(Attribution.LATER);
     }
 
-    /** Whether so many workers have crashed, or may have, that their number is enough. */
+    /** Returns whether the total number of crashes, including unproven ones, is sufficient. */
     boolean isPoison(Task task)
     {
-        return isProven(task)
-                || task.crashes().crashes().stream().filter(this::counts).count() >= MOST_IN_ALL;
+        return hasEnoughAttributedCrashes(task) || task.crashes().crashes().stream()
+                .filter(this::countsAsCrash).count() >= TOTAL_CRASH_THRESHOLD;
     }
 
-    /** A worker that fell silent counts unless it is listed: then it may be cut off and live. */
-    private boolean counts(Crash crash)
+    /**
+     * Returns whether a crash counts towards the total. An unproven crash does not count while the
+     * worker is listed, since the worker may only be unreachable.
+     */
+    private boolean countsAsCrash(Crash crash)
     {
-        boolean isListed = workers.find(crash.worker()).map(slot -> slot.entry() != null).orElse(false);
+        boolean isListed = workers.find(crash.worker()).map(worker -> worker.entry() != null).orElse(false);
         return crash.evidence() != Attribution.UNPROVEN || !isListed;
     }
 
-    /** A task is given up: the others that had runs on the workers that it crashed did not do it. */
+    /** Marks the crashes of a confirmed poison task as explained for all other tasks. */
     void confirmPoison(Task task)
     {
-        Set<String> its = task.crashes().proven();
-        for (Task other : tracked)
+        Set<String> crashedWorkers = task.crashes().proven();
+        for (Task other : trackedTasks)
         {
             if (other != task)
             {
-                other.setCrashes(other.crashes().withExplained(its));
+                other.setCrashes(other.crashes().withExplained(crashedWorkers));
             }
         }
     }
 
     /**
-     * Clears tasks that have outlived all suspicion.
+     * Clears the history of tasks that have run long enough.
      *
-     * @return the waiting tasks that are to be given up, those with most proof first; giving one up may
+     * @return the waiting tasks to fail, those with the most attributed crashes first; failing one may
      *         clear others
      */
     List<Task> check()
     {
-        List<Task> guilty = new ArrayList<>();
-        for (Iterator<Task> all = tracked.iterator(); all.hasNext();)
+        List<Task> poisonTasks = new ArrayList<>();
+        for (Iterator<Task> iterator = trackedTasks.iterator(); iterator.hasNext();)
         {
-            Task task = all.next();
-            if (task.occupies() && task.seenMillis() >= CLEARED_MILLIS)
+            Task task = iterator.next();
+            if (task.occupies() && task.seenMillis() >= CLEAR_AFTER_MILLIS)
             {
                 task.setCrashes(CrashHistory.NONE);
             }
-            boolean isOver = task.phase() == Task.Phase.DONE || task.step().job().state().isFinal();
-            if (isOver || task.crashes().isEmpty())
+            boolean hasEnded = task.phase() == Task.Phase.DONE || task.step().job().state().isFinal();
+            if (hasEnded || task.crashes().isEmpty())
             {
-                all.remove();
+                iterator.remove();
             }
             else if (task.phase() == Task.Phase.WAITING && isPoison(task))
             {
-                guilty.add(task);
+                poisonTasks.add(task);
             }
         }
-        guilty.sort(Comparator.comparingInt(CrashGuard::provenCrashes).reversed());
-        return guilty;
+        poisonTasks.sort(Comparator.comparingInt(CrashGuard::attributedCrashCount).reversed());
+        return poisonTasks;
     }
 
-    /** The workers on which a suspect has not outlived its start yet; nothing else begins there. */
+    /**
+     * Returns the workers on which a suspect has not survived its start yet. Nothing else may start
+     * there.
+     */
     Set<TrackedWorker> isolationWorkers()
     {
-        Set<TrackedWorker> slots = new HashSet<>();
-        for (Task task : tracked)
+        Set<TrackedWorker> isolated = new HashSet<>();
+        for (Task task : trackedTasks)
         {
             if (task.isIsolated())
             {
-                slots.add(task.worker());
+                isolated.add(task.worker());
             }
         }
-        return slots;
+        return isolated;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Effects.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Effects.java
@@ -11,39 +11,39 @@
 
 import org.gaugehollow.job.CrashHistory;
 
-/** What has to be written and sent after a change of the ledger. */
+/** Collects the writes and commands that follow from a change of the cell state. */
 final class Effects
 {
     /**
      * A run that has to be stopped.
      *
-     * @param slot the worker that has it
-     * @param taskName the task's full name
-     * @param run the run
-     * @param task the task, or null where the ledger does not know the run
+     * @param slot the worker of the run
+     * @param taskName the full name of the task
+     * @param run the run number
+     * @param task the task, or null if the cell state does not know the run
      */
     record Stop(TrackedWorker slot, String taskName, int run, Task task)
     {
     }
 
     /**
-     * A run that is over with its worker.
+     * A run that was lost with its worker.
      *
-     * @param task the task's full name
-     * @param run the run
-     * @param worker the worker
-     * @param end how it is known
-     * @param seenMillis how long the run was seen at work, in milliseconds
+     * @param task the full name of the task
+     * @param run the run number
+     * @param worker the id of the worker
+     * @param end the cause of the loss
+     * @param seenMillis the observed run time in milliseconds
      */
     record LostRun(String task, int run, String worker, WorkerLossCause end, long seenMillis)
     {
     }
 
     /**
-     * A task that is given up.
+     * A task that fails as poison.
      *
-     * @param task the task's full name
-     * @param crashes the workers that crashed under it
+     * @param task the full name of the task
+     * @param crashes the worker crashes under the task
      */
     record PoisonTask(String task, CrashHistory crashes)
     {
@@ -52,17 +52,17 @@
     private final Set<Job> changed = new LinkedHashSet<>();
     private final List<Stop> stops = new ArrayList<>();
     private final List<LostRun> lostRuns = new ArrayList<>();
-    private final List<PoisonTask> givenUp = new ArrayList<>();
+    private final List<PoisonTask> poisonTasks = new ArrayList<>();
 
-    /** A job's progress has changed. */
+    /** Marks the progress of a job as changed. */
     void changed(Job job)
     {
         job.changed();
         changed.add(job);
     }
 
-    /** A job's progress changed before, and the store may lack that. */
-    void unwritten(Job job)
+    /** Adds a job whose earlier change may not be stored yet. */
+    void addUnwritten(Job job)
     {
         changed.add(job);
     }
@@ -73,18 +73,18 @@
         stops.add(new Stop(task.worker(), task.name(), task.run(), task));
     }
 
-    void stopUnknown(TrackedWorker slot, String taskName, int run)
+    void stopUnknown(TrackedWorker worker, String taskName, int run)
     {
-        stops.add(new Stop(slot, taskName, run, null));
+        stops.add(new Stop(worker, taskName, run, null));
     }
 
-    /** A task's run is over with its worker. */
-    void addLostRun(Task task, TrackedWorker slot, WorkerLossCause end)
+    /** Adds a run that was lost with its worker. */
+    void addLostRun(Task task, TrackedWorker worker, WorkerLossCause cause)
     {
-        lostRuns.add(new LostRun(task.name(), task.run(), slot.id(), end, task.seenMillis()));
+        lostRuns.add(new LostRun(task.name(), task.run(), worker.id(), cause, task.seenMillis()));
     }
 
-    /** The jobs whose progress is to be written. */
+    /** Returns the jobs whose progress is to be written. */
     Set<Job> changed()
     {
         return changed;
@@ -95,15 +95,15 @@
         return stops;
     }
 
-    /** A task is given up for the workers that crashed under it. */
+    /** Adds a task that fails as poison. */
     void givenUp(Task task)
     {
-        givenUp.add(new PoisonTask(task.name(), task.crashes()));
+        poisonTasks.add(new PoisonTask(task.name(), task.crashes()));
     }
 
     List<PoisonTask> givenUp()
     {
-        return givenUp;
+        return poisonTasks;
     }
 
     List<LostRun> lostRuns()
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/NoTickets.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/NoTickets.java
@@ -6,17 +6,20 @@
 
 import java.util.Optional;
 
-/** Where no start needs a ticket and each step may run everywhere. */
+/**
+ * Ticket source for queues without advice: no start needs a ticket, and each step may run on every
+ * worker.
+ */
 final class NoTickets implements Planner.Tickets
 {
     @Override
-    public Optional<String> ticket(Step step, TrackedWorker slot)
+    public Optional<String> ticket(Step step, TrackedWorker worker)
     {
         return Optional.empty();
     }
 
     @Override
-    public boolean isAllowed(Step step, TrackedWorker slot)
+    public boolean isAllowed(Step step, TrackedWorker worker)
     {
         return true;
     }
@@ -28,7 +31,7 @@
     }
 
     @Override
-    public boolean isDenied(Step step, TrackedWorker slot)
+    public boolean isDenied(Step step, TrackedWorker worker)
     {
         return false;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/RecentCrashes.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/RecentCrashes.java
@@ -9,53 +9,61 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * When workers crashed. Several that crash together have a cause of their own, such as a rack that
- * loses power; what was at work on each of them did not do it. Not thread-safe; used under the
- * ledger's lock.
+ * Keeps the times of recent worker crashes. Crashes within a short window are taken to have a
+ * common cause, such as a rack that loses power, so they are not attributed to the tasks.
+ * <p>
+ * Not thread-safe; guarded by the lock of the cell state.
  */
 final class RecentCrashes
 {
-    /** Looks at workers that fall silent together end within this time of each other. */
-    private static final long TOGETHER_NANOS = TimeUnit.SECONDS.toNanos(1);
-    /** Fewer workers may be crashed by as many tasks at once. */
-    private static final int FEWEST_TOGETHER = 3;
-    /** Lives of workers that crashed together become known to be over within this time. */
-    private static final long KEPT_NANOS = TimeUnit.SECONDS.toNanos(60);
+    /** Longest difference between the missed heartbeats of workers that fail together. */
+    private static final long CORRELATION_WINDOW_NANOS = TimeUnit.SECONDS.toNanos(1);
+    /** Smaller groups may have been crashed by as many poison tasks. */
+    private static final int MIN_CORRELATED_WORKERS = 3;
+    /** Time within which the crashes of workers that failed together are confirmed. */
+    private static final long RETENTION_NANOS = TimeUnit.SECONDS.toNanos(60);
 
     private final TrackedWorkers workers;
-    private final Deque<Long> moments = new ArrayDeque<>();
+    private final Deque<Long> crashTimesNanos = new ArrayDeque<>();
 
     RecentCrashes(TrackedWorkers workers)
     {
         this.workers = workers;
     }
 
-    /** Takes note that a worker has crashed when it fell silent; one that never did tells no moment. */
-    void add(TrackedWorker slot)
+    /**
+     * Records the crash of a worker at the time at which it became unresponsive. A worker that never
+     * became unresponsive is ignored.
+     */
+    void add(TrackedWorker worker)
     {
-        if (slot.isUnresponsive())
+        if (worker.isUnresponsive())
         {
-            long newest = slot.unresponsiveSinceNanos();
-            moments.removeIf(moment -> newest - moment > KEPT_NANOS);
-            moments.add(newest);
+            long newestNanos = worker.unresponsiveSinceNanos();
+            crashTimesNanos.removeIf(timeNanos -> newestNanos - timeNanos > RETENTION_NANOS);
+            crashTimesNanos.add(newestNanos);
         }
     }
 
-    /** Whether a worker that has crashed, and was not added yet, fell silent together with others. */
-    boolean isCorrelated(TrackedWorker slot)
+    /**
+     * Returns whether a crashed worker, which has not been added yet, became unresponsive together with
+     * others.
+     */
+    boolean isCorrelated(TrackedWorker worker)
     {
-        if (!slot.isUnresponsive())
+        if (!worker.isUnresponsive())
         {
             return false;
         }
-        long crashed = moments.stream().filter(moment -> isTogether(slot, moment)).count();
-        long silent = workers.all().stream().filter(other -> other != slot && other.isUnresponsive())
-                .filter(other -> isTogether(slot, other.unresponsiveSinceNanos())).count();
-        return crashed + silent + 1 >= FEWEST_TOGETHER;
+        long crashed = crashTimesNanos.stream().filter(timeNanos -> isWithinWindow(worker, timeNanos))
+                .count();
+        long unresponsive = workers.all().stream().filter(other -> other != worker && other.isUnresponsive())
+                .filter(other -> isWithinWindow(worker, other.unresponsiveSinceNanos())).count();
+        return crashed + unresponsive + 1 >= MIN_CORRELATED_WORKERS;
     }
 
-    private static boolean isTogether(TrackedWorker slot, long moment)
+    private static boolean isWithinWindow(TrackedWorker worker, long timeNanos)
     {
-        return Math.abs(moment - slot.unresponsiveSinceNanos()) <= TOGETHER_NANOS;
+        return Math.abs(timeNanos - worker.unresponsiveSinceNanos()) <= CORRELATION_WINDOW_NANOS;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/RunEndHandler.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/RunEndHandler.java
@@ -11,85 +11,86 @@
 import org.gaugehollow.worker.RunEnd;
 
 /**
- * What the end of a run, as a worker lists it, means for its task, its job and the worker. Not
- * thread-safe; used under the ledger's lock.
+ * Applies the end of a run, as reported by a worker, to its task, its job and the worker.
+ * <p>
+ * Not thread-safe; guarded by the lock of the cell state.
  */
 final class RunEndHandler
 {
-    private final CellState ledger;
+    private final CellState cellState;
     private final LongSupplier nanoTime;
 
     /**
-     * @param ledger the tasks
+     * @param cellState finds the tasks
      * @param nanoTime a monotonic clock
      */
-    RunEndHandler(CellState ledger, LongSupplier nanoTime)
+    RunEndHandler(CellState cellState, LongSupplier nanoTime)
     {
-        this.ledger = ledger;
+        this.cellState = cellState;
         this.nanoTime = nanoTime;
     }
 
-    /** Takes note of an end; ends of runs that are not known any more change nothing. */
-    void handle(TrackedWorker slot, EndedRun end, Effects effects)
+    /** Applies the end of a run. Ends of unknown runs are ignored. */
+    void handle(TrackedWorker worker, EndedRun end, Effects effects)
     {
-        Task task = ledger.find(end.task());
+        Task task = cellState.find(end.task());
         if (task == null)
         {
             return;
         }
         Job job = task.step().job();
-        // An end that changes nothing any more may be known to this owner only, from an earlier look or
-        // from another member of its gang: it too stays open until the store has it.
+        // An end without further effect may be known to this owner only, from an earlier heartbeat or from
+        // another member of its gang. It must also not be acknowledged before the progress is stored.
         if (job.isUnwritten())
         {
-            effects.unwritten(job);
+            effects.addUnwritten(job);
         }
-        if (!task.isAt(slot, end.run()))
+        if (!task.isAt(worker, end.run()))
         {
-            endOfCopy(task, slot, end, effects);
+            handleDuplicateEnd(task, worker, end, effects);
             return;
         }
         effects.changed(job);
         CellState.saveCheckpoint(task, end.checkpoint());
         if (end.how() == RunEnd.DONE && !task.step().spec().longRunning())
         {
-            done(task, slot, nanoTime.getAsLong());
+            handleSuccess(task, worker, nanoTime.getAsLong());
         }
         else
         {
             task.release();
             if (end.how() == RunEnd.FAILED && task.phase() != Task.Phase.DONE)
             {
-                failed(task, slot, end.run(), effects);
+                handleFailure(task, worker, end.run(), effects);
             }
         }
         CellState.finishIfAllDone(job, effects);
     }
 
     /**
-     * The end of a run that was left on a worker that did not answer. An earlier owner may have left it
-     * too, so a good end counts in any case.
+     * Handles the end of an abandoned run. An earlier owner may have abandoned it, so a successful end
+     * always counts.
      */
-    private void endOfCopy(Task task, TrackedWorker slot, EndedRun end, Effects effects)
+    private void handleDuplicateEnd(Task task, TrackedWorker worker, EndedRun end, Effects effects)
     {
         if (!task.mayHaveCopies() || task.phase() == Task.Phase.DONE)
         {
             return;
         }
-        boolean wasLeft = task.endCopy(end.run());
+        boolean wasAbandoned = task.endCopy(end.run());
         if (end.how() == RunEnd.DONE)
         {
             effects.changed(task.step().job());
-            doneByCopy(task, effects);
+            completeByDuplicate(task, effects);
         }
-        else if (end.how() == RunEnd.FAILED && wasLeft)
+        else if (end.how() == RunEnd.FAILED && wasAbandoned)
         {
             effects.changed(task.step().job());
-            failed(task, slot, end.run(), effects);
+            handleFailure(task, worker, end.run(), effects);
         }
     }
 
-    private static void doneByCopy(Task task, Effects effects)
+    private static void completeByDuplicate(Task task, Effects effects)
     {
         task.doneByCopy();
         if (task.occupies() && task.phase() != Task.Phase.STOPPING)
@@ -99,9 +100,9 @@
         CellState.finishIfAllDone(task.step().job(), effects);
     }
 
-    private static void done(Task task, TrackedWorker slot, long nowNanos)
+    private static void handleSuccess(Task task, TrackedWorker worker, long nowNanos)
     {
-        slot.health().recordSuccess();
+        worker.health().recordSuccess();
         if (task.step().spec().gang())
         {
             task.step().tasks().forEach(Task::done);
@@ -110,17 +111,17 @@
         task.done(nowNanos);
     }
 
-    private void failed(Task task, TrackedWorker slot, int run, Effects effects)
+    private void handleFailure(Task task, TrackedWorker worker, int run, Effects effects)
     {
         Step step = task.step();
         Job job = step.job();
-        task.failedOn(slot);
+        task.failedOn(worker);
         if (step.spec().longRunning())
         {
-            slot.health().recordFailure(task.name(), nanoTime.getAsLong());
+            worker.health().recordFailure(task.name(), nanoTime.getAsLong());
             return;
         }
-        slot.health().recordFailure(job.id(), nanoTime.getAsLong());
+        worker.health().recordFailure(job.id(), nanoTime.getAsLong());
         if (step.spec().gang())
         {
             step.gangFailed(run);
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/StopCommands.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/StopCommands.java
@@ -15,29 +15,29 @@
 import org.gaugehollow.worker.CommandResult;
 import org.gaugehollow.worker.WorkerPort;
 
-/** The owner's stops of runs on one life of a worker, at most one for a task at a time. */
+/** Sends stop commands to one worker incarnation, at most one per task at a time. */
 final class StopCommands
 {
-    private static final int ORDER_MILLIS = 350;
-    private static final int RETRY_MILLIS = 150;
-    private static final int TRIES_UNKNOWN = 3;
+    private static final int COMMAND_TIMEOUT_MILLIS = 350;
+    private static final int RETRY_DELAY_MILLIS = 150;
+    private static final int MAX_ORPHAN_ATTEMPTS = 3;
 
     private final OwnerTerm term;
-    private final TrackedWorker slot;
+    private final TrackedWorker worker;
     private final WorkerPort port;
-    private final Set<String> active = ConcurrentHashMap.newKeySet();
+    private final Set<String> activeTasks = ConcurrentHashMap.newKeySet();
 
-    StopCommands(OwnerTerm term, TrackedWorker slot, WorkerPort port)
+    StopCommands(OwnerTerm term, TrackedWorker worker, WorkerPort port)
     {
         this.term = term;
-        this.slot = slot;
+        this.worker = worker;
         this.port = port;
     }
 
-    /** Sends a stop until the worker has taken it or the run is known to be over. */
+    /** Sends a stop until the worker has accepted it or the run is known to have ended. */
     void send(Effects.Stop stop) throws InterruptedException
     {
-        if (!active.add(stop.taskName()))
+        if (!activeTasks.add(stop.taskName()))
         {
             return;
         }
@@ -45,102 +45,110 @@
         {
             if (stop.task() == null)
             {
-                stopUnknown(stop);
+                stopOrphanRun(stop);
             }
             else
             {
-                stopKnown(stop);
+                stopTask(stop);
             }
         }
         finally
         {
-            active.remove(stop.taskName());
+            activeTasks.remove(stop.taskName());
         }
     }
 
-    private void stopKnown(Effects.Stop stop) throws InterruptedException
+    private void stopTask(Effects.Stop stop) throws InterruptedException
     {
-        while (isWanted(stop) && term.lease().maySendCommands())
+        while (isPending(stop) && term.lease().maySendCommands())
         {
-            CommandReply answer = port.stop(stop.taskName(), stop.run(), term.lease().fence(), ORDER_MILLIS);
-            if (answer.result().isSettled())
+            CommandReply reply = port.stop(stop.taskName(), stop.run(), term.lease().fence(),
+                    COMMAND_TIMEOUT_MILLIS);
+            if (reply.result().isSettled())
             {
-                settleStop(stop, answer);
+                handleReply(stop, reply);
                 return;
             }
-            Thread.sleep(RETRY_MILLIS);
+            Thread.sleep(RETRY_DELAY_MILLIS);
         }
     }
 
-    private boolean isWanted(Effects.Stop stop)
+    private boolean isPending(Effects.Stop stop)
     {
         synchronized (term.cellState())
         {
-            return stop.task().isAt(slot, stop.run()) && stop.task().phase() == Task.Phase.STOPPING;
+            return stop.task().isAt(worker, stop.run()) && stop.task().phase() == Task.Phase.STOPPING;
         }
     }
 
-    private void settleStop(Effects.Stop stop, CommandReply answer)
+    private void handleReply(Effects.Stop stop, CommandReply reply)
     {
-        if (answer.result() == CommandResult.FENCED)
+        if (reply.result() == CommandResult.FENCED)
         {
-            term.onFenced(slot);
+            term.onFenced(worker);
         }
-        else if (answer.result() == CommandResult.OTHER_LIFE)
+        else if (reply.result() == CommandResult.OTHER_LIFE)
         {
-            term.onIncarnationChanged(slot);
+            term.onIncarnationChanged(worker);
         }
         else
         {
             synchronized (term.cellState())
             {
-                stop.task().settleStop(slot, stop.run(), SteadyClock.nanos());
+                stop.task().settleStop(worker, stop.run(), SteadyClock.nanos());
             }
         }
     }
 
-    private void stopUnknown(Effects.Stop stop) throws InterruptedException
+    private void stopOrphanRun(Effects.Stop stop) throws InterruptedException
     {
-        for (int i = 0; i < TRIES_UNKNOWN; i++)
+        for (int i = 0; i < MAX_ORPHAN_ATTEMPTS; i++)
         {
-            CommandReply answer = port.stop(stop.taskName(), stop.run(), term.lease().fence(), ORDER_MILLIS);
-            if (answer.result().isSettled())
+            CommandReply reply = port.stop(stop.taskName(), stop.run(), term.lease().fence(),
+                    COMMAND_TIMEOUT_MILLIS);
+            if (reply.result().isSettled())
             {
                 return;
             }
-            Thread.sleep(RETRY_MILLIS);
+            Thread.sleep(RETRY_DELAY_MILLIS);
         }
     }
 
-    /** Stops that no one is sending, such as those decided before this session began, are sent now. */
-    void sendOpen()
+    /**
+     * Sends the pending stops that are not being sent yet, such as those decided before this session
+     * began.
+     */
+    void sendPending()
     {
-        List<Effects.Stop> open = new ArrayList<>();
+        List<Effects.Stop> pending = new ArrayList<>();
         synchronized (term.cellState())
         {
-            for (Task task : slot.tasks())
+            for (Task task : worker.tasks())
             {
-                boolean unanswered = task.phase() == Task.Phase.STOPPING
+                boolean isUnanswered = task.phase() == Task.Phase.STOPPING
                         && task.settledNanos() == Task.UNSETTLED;
-                if (unanswered && !active.contains(task.name()))
+                if (isUnanswered && !activeTasks.contains(task.name()))
                 {
-                    open.add(new Effects.Stop(slot, task.name(), task.run(), task));
+                    pending.add(new Effects.Stop(worker, task.name(), task.run(), task));
                 }
             }
         }
-        open.forEach(stop -> OwnerTerm.inBackground(stop.taskName(), () -> send(stop)));
+        pending.forEach(stop -> OwnerTerm.inBackground(stop.taskName(), () -> send(stop)));
     }
 
-    /** Stops that let the life carry out no start that was sent to an earlier life of its worker. */
+    /**
+     * Stops the unanswered starts that were sent to earlier incarnations of the worker, so that this
+     * incarnation does not execute them.
+     */
     void blockStartsForEarlierIncarnations()
     {
         Map<String, Integer> runs;
         synchronized (term.cellState())
         {
-            runs = term.cellState().slots().unansweredStarts().forEarlierIncarnations(slot,
+            runs = term.cellState().slots().unansweredStarts().forEarlierIncarnations(worker,
                     SteadyClock.nanos());
         }
         runs.forEach((task, run) -> OwnerTerm.inBackground(task,
-                () -> send(new Effects.Stop(slot, task, run, null))));
+                () -> send(new Effects.Stop(worker, task, run, null))));
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/ThrottleController.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/ThrottleController.java
@@ -8,25 +8,25 @@
 import java.util.List;
 
 /**
- * Keeps serving tasks below their target where tasks that fill share their worker: the fillers are
- * slowed down as soon as a serving task comes near its target, and let go faster again step by
- * step.
+ * Protects the latency targets of serving tasks that share a worker with best-effort tasks.
+ * Best-effort tasks are throttled as soon as a serving task approaches its target, and are allowed
+ * to speed up again step by step.
  */
 final class ThrottleController
 {
-    private static final int[] PACES = {0, 25, 50, 100};
-    private static final double SLOW_DOWN_AT = 0.85;
-    private static final double SPEED_UP_BELOW = 0.55;
-    private static final long CALM_NANOS = 2_000_000_000L;
+    private static final int[] SPEED_LIMITS_PERCENT = {0, 25, 50, 100};
+    private static final double SLOW_DOWN_RATIO = 0.85;
+    private static final double SPEED_UP_RATIO = 0.55;
+    private static final long MIN_SPEED_UP_INTERVAL_NANOS = 2_000_000_000L;
 
     /**
-     * A change of pace that is to be sent.
+     * A change of a speed limit that is to be sent.
      *
-     * @param task the task that fills
-     * @param run the run
-     * @param percent the share of its speed
+     * @param task the best-effort task
+     * @param run the run number
+     * @param percent the new limit in percent of full speed
      */
-    record Change(Task task, int run, int percent)
+    record SpeedLimitChange(Task task, int run, int percent)
     {
     }
 
@@ -35,69 +35,73 @@
     }
 
     /**
-     * Whether tasks that fill and tasks that serve share the worker, so that it has to be looked at
-     * often.
+     * Returns whether best-effort and serving tasks share the worker, which then needs frequent
+     * heartbeats.
      */
-    static boolean isShared(TrackedWorker slot)
+    static boolean isShared(TrackedWorker worker)
     {
-        boolean serves = false;
-        boolean fills = false;
-        for (Task task : slot.tasks())
+        boolean hasServing = false;
+        boolean hasBestEffort = false;
+        for (Task task : worker.tasks())
         {
-            serves |= task.step().spec().targetMillis() > 0;
-            fills |= task.step().spec().fills();
+            hasServing |= task.step().spec().targetMillis() > 0;
+            hasBestEffort |= task.step().spec().fills();
         }
-        return serves && fills;
+        return hasServing && hasBestEffort;
     }
 
-    /** Decides the paces after a look. */
-    static List<Change> adjust(TrackedWorker slot, long nowNanos)
+    /**
+     * Adjusts the speed limits of a worker after a heartbeat.
+     *
+     * @return the changes to send
+     */
+    static List<SpeedLimitChange> adjust(TrackedWorker worker, long nowNanos)
     {
-        double worst = 0;
-        for (Task task : slot.tasks())
+        double worstRatio = 0;
+        for (Task task : worker.tasks())
         {
-            long target = task.step().spec().targetMillis();
-            if (target > 0)
+            long targetMillis = task.step().spec().targetMillis();
+            if (targetMillis > 0)
             {
-                worst = Math.max(worst, task.gauge() / target);
+                worstRatio = Math.max(worstRatio, task.gauge() / targetMillis);
             }
         }
-        List<Change> changes = new ArrayList<>();
-        for (Task task : slot.tasks())
+        List<SpeedLimitChange> changes = new ArrayList<>();
+        for (Task task : worker.tasks())
         {
             if (task.step().spec().fills() && task.phase() == Task.Phase.RUNNING)
             {
-                adjust(task, worst, nowNanos, changes);
+                adjust(task, worstRatio, nowNanos, changes);
             }
         }
         return changes;
     }
 
-    private static void adjust(Task task, double worst, long nowNanos, List<Change> changes)
+    private static void adjust(Task task, double worstRatio, long nowNanos, List<SpeedLimitChange> changes)
     {
         int level = level(task.speedLimitPercent());
-        if (worst > SLOW_DOWN_AT && level > 0)
+        if (worstRatio > SLOW_DOWN_RATIO && level > 0)
         {
-            level = worst > 1 ? 0 : level - 1;
+            level = worstRatio > 1 ? 0 : level - 1;
         }
-        else if (worst < SPEED_UP_BELOW && level < PACES.length - 1
-                && nowNanos - task.speedLimitSetNanos() > CALM_NANOS)
+        else if (worstRatio < SPEED_UP_RATIO && level < SPEED_LIMITS_PERCENT.length - 1
+                && nowNanos - task.speedLimitSetNanos() > MIN_SPEED_UP_INTERVAL_NANOS)
         {
             level++;
         }
-        if (PACES[level] != task.speedLimitPercent())
+        if (SPEED_LIMITS_PERCENT[level] != task.speedLimitPercent())
         {
-            task.setSpeedLimitPercent(PACES[level], nowNanos);
-            changes.add(new Change(task, task.run(), PACES[level]));
+            task.setSpeedLimitPercent(SPEED_LIMITS_PERCENT[level], nowNanos);
+            changes.add(new SpeedLimitChange(task, task.run(), SPEED_LIMITS_PERCENT[level]));
         }
     }
 
-    private static int level(int pace)
+    private static int level(int percent)
     {
         int level = 0;
-        for (int i = 0; i < PACES.length; i++)
+        for (int i = 0; i < SPEED_LIMITS_PERCENT.length; i++)
         {
-            level = pace >= PACES[i] ? i : level;
+            level = percent >= SPEED_LIMITS_PERCENT[i] ? i : level;
         }
         return level;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/TrackedWorker.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/TrackedWorker.java
@@ -14,55 +14,57 @@
 import org.gaugehollow.worker.WorkerEntry;
 import org.gaugehollow.worker.WorkerIncarnation;
 
-/** One life of a worker in the owner's memory. Guarded by the ledger's lock. */
+/**
+ * The state of one worker incarnation in the memory of the owner. Guarded by the lock of the cell
+ * state.
+ */
 final class TrackedWorker
 {
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    /** A worker's clock may run this much slower than ours. */
-    private static final double SLOWEST_CLOCK = 1.02;
+    /** Factor by which the clock of a worker may run slower than the local clock. */
+    private static final double MAX_CLOCK_DRIFT_FACTOR = 1.02;
 
-    /** No look was left without an answer since the last one that was answered. */
-    private static final long ANSWERS = Long.MAX_VALUE;
+    /** Value of {@link #unresponsiveSinceNanos} while the worker responds. */
+    private static final long RESPONSIVE = Long.MAX_VALUE;
 
     private final String id;
-    private final WorkerIncarnation life;
-    private final long knownNanos;
+    private final WorkerIncarnation incarnation;
+    private final long firstSeenNanos;
     private final Set<Task> tasks = new LinkedHashSet<>();
-    private final List<UnresponsiveRun> leftRuns = new ArrayList<>();
+    private final List<UnresponsiveRun> abandonedRuns = new ArrayList<>();
     private final WorkerHealth health = new WorkerHealth();
     private WorkerEntry entry;
     private ComputeResources used = ComputeResources.NONE;
-    /** What is left of the capacity; asked for often, and changed seldom. */
+    /** Cached, since it is read often and changes rarely. */
     private ComputeResources free = ComputeResources.NONE;
-    private boolean held;
-    /** Whether the last look showed runs that the owner does not know. */
-    private boolean foreignRuns;
-    /** The steps of those runs, where their jobs are known. */
-    private final List<Step> foreignSteps = new ArrayList<>();
-    private boolean lapsing;
+    private boolean leaseHeld;
+    private boolean hasOrphanRuns;
+    /** Steps of the orphan runs whose jobs are known. */
+    private final List<Step> orphanSteps = new ArrayList<>();
+    private boolean leaseExpiring;
     private boolean leaving;
-    private long silentNanos = ANSWERS;
-    private boolean brokenOff;
+    private long unresponsiveSinceNanos = RESPONSIVE;
+    private boolean connectionLost;
     private long listedNanos;
-    private long lookedNanos;
+    private long lastHeartbeatNanos;
     private long clockMillis;
-    private long clockReadNanos;
+    private long clockUpdatedNanos;
     private long deadlineMillis;
     private long leaseEndNanos;
 
     /**
-     * A life of which nothing is known yet but when its runs have ended.
+     * Creates a tracked worker of which only the end of its lease is known.
      *
-     * @param id the life as text, see {@link WorkerIncarnation#text}
-     * @param leaseEndNanos when its runs have ended
-     * @param knownNanos the monotonic clock now
+     * @param id the incarnation as text, see {@link WorkerIncarnation#text}
+     * @param leaseEndNanos monotonic time at which all its runs have ended
+     * @param firstSeenNanos current monotonic time
      */
     TrackedWorker(String id, long leaseEndNanos, long knownNanos)
     {
         this.id = id;
-        this.life = WorkerIncarnation.parse(id);
+        this.incarnation = WorkerIncarnation.parse(id);
         this.leaseEndNanos = leaseEndNanos;
-        this.knownNanos = knownNanos;
+        this.firstSeenNanos = knownNanos;
     }
 
     void addTask(Task task)
@@ -70,7 +72,7 @@
         if (tasks.add(task))
         {
             used = used.plus(task.step().needs());
-            measureFree();
+            updateFree();
         }
     }
 
@@ -79,32 +81,32 @@
         if (tasks.remove(task))
         {
             used = used.minus(task.step().needs());
-            measureFree();
+            updateFree();
         }
     }
 
-    /** A run is left here, and its task goes on elsewhere. */
+    /** Records an abandoned run whose task continues elsewhere. */
     void addAbandonedRun(UnresponsiveRun run)
     {
-        leftRuns.add(run);
+        abandonedRuns.add(run);
     }
 
-    /** The runs that were left here; they are known no more. */
+    /** Removes and returns the abandoned runs. */
     List<UnresponsiveRun> removeAbandonedRuns()
     {
-        List<UnresponsiveRun> taken = new ArrayList<>(leftRuns);
-        leftRuns.clear();
-        return taken;
+        List<UnresponsiveRun> removed = new ArrayList<>(abandonedRuns);
+        abandonedRuns.clear();
+        return removed;
     }
 
-    private void measureFree()
+    private void updateFree()
     {
         free = entry == null ? ComputeResources.NONE : entry.capacity().minusClamped(used);
     }
 
     /**
-     * Whether it holds more than its room, which has shrunk since. What runs there goes on: it is no
-     * start, and stopping it would throw its work away.
+     * Returns whether the tasks use more than the capacity, which can shrink while they run. They
+     * continue to run, since stopping them would discard their work.
      */
     boolean isOvercommitted()
     {
@@ -116,233 +118,241 @@
         return free;
     }
 
-    /** Whether tasks may be started on it. */
+    /** Returns whether tasks may be started on this worker. */
     boolean acceptsStarts()
     {
-        return entry != null && held && !lapsing && !entry.draining() && !foreignRuns;
+        return entry != null && leaseHeld && !leaseExpiring && !entry.draining() && !hasOrphanRuns;
     }
 
-    /** Whether it has said that it leaves, or answers though its entry is gone. */
+    /**
+     * Returns whether the worker has announced that it leaves, or responds although its entry is gone.
+     */
     boolean isLeaving()
     {
         return leaving;
     }
 
-    /** Whether its lease is left to lapse: no order renews it, and nothing is started on it. */
+    /**
+     * Sets whether the lease is left to expire: no heartbeat renews it, and nothing is started on the
+     * worker.
+     */
     void setLeaseExpiring(boolean value)
     {
-        lapsing = value;
+        leaseExpiring = value;
     }
 
     boolean isLeaseExpiring()
     {
-        return lapsing;
+        return leaseExpiring;
     }
 
-    /** The worker's clock as the newest answer brought it, in milliseconds; 0 if none did. */
+    /**
+     * Returns the clock of the worker in milliseconds as of the newest reply, or 0 if there was none.
+     */
     long clockMillis()
     {
         return clockMillis;
     }
 
-    /** Takes note of the worker's clock as an answer brought it. */
+    /** Updates the clock of the worker from a reply. */
     void readClock(long millis, long nowNanos)
     {
         if (millis > 0)
         {
             clockMillis = millis;
-            clockReadNanos = nowNanos;
-            boundLease();
+            clockUpdatedNanos = nowNanos;
+            updateLeaseEnd();
         }
     }
 
     /**
-     * The deadline for an order that is to let the worker's runs live for some time from now; the
-     * newest one that was sent while the lease is left to lapse, 0 if there is none.
+     * Returns the deadline for a command that keeps the runs of the worker alive for the given time
+     * from now. While the lease is left to expire, returns the newest deadline that was sent, or 0 if
+     * there is none.
      */
-    long deadlineIn(long leaseMillis, long nowNanos)
+    long extendDeadline(long leaseMillis, long nowNanos)
     {
-        if (clockMillis == 0 || lapsing)
+        if (clockMillis == 0 || leaseExpiring)
         {
             return deadlineMillis;
         }
-        long deadline = clockMillis + (nowNanos - clockReadNanos) / NANOS_PER_MILLI + leaseMillis;
+        long deadline = clockMillis + (nowNanos - clockUpdatedNanos) / NANOS_PER_MILLI + leaseMillis;
         deadlineMillis = Math.max(deadlineMillis, deadline);
-        boundLease();
+        updateLeaseEnd();
         return deadline;
     }
 
-    private void boundLease()
+    private void updateLeaseEnd()
     {
         if (deadlineMillis > 0 && clockMillis > 0)
         {
-            double left = Math.max(0, deadlineMillis - clockMillis) * SLOWEST_CLOCK;
-            leaseEndNanos = clockReadNanos + (long) (left * NANOS_PER_MILLI);
+            double remainingMillis = Math.max(0, deadlineMillis - clockMillis) * MAX_CLOCK_DRIFT_FACTOR;
+            leaseEndNanos = clockUpdatedNanos + (long) (remainingMillis * NANOS_PER_MILLI);
         }
     }
 
-    /** When everything that runs there has surely been ended by the worker itself. */
+    /** Returns the monotonic time at which the worker has certainly ended all its runs. */
     long leaseEndNanos()
     {
         return leaseEndNanos;
     }
 
-    void setEntry(WorkerEntry newest, long nowNanos)
+    void setEntry(WorkerEntry newEntry, long nowNanos)
     {
-        entry = newest;
-        leaving = newest.draining();
+        entry = newEntry;
+        leaving = newEntry.draining();
         listedNanos = nowNanos;
-        measureFree();
+        updateFree();
     }
 
-    /** The platform no longer lists it. */
+    /** Removes the entry of a worker that the platform no longer lists. */
     void unlisted()
     {
         entry = null;
-        measureFree();
+        updateFree();
     }
 
-    /** When the newest entry came. */
+    /** Returns the monotonic time at which the newest entry was read. */
     long listedNanos()
     {
         return listedNanos;
     }
 
-    /** A look at it was answered. */
+    /** Records an answered heartbeat. */
     void recordHeartbeat(long nowNanos)
     {
-        held = true;
+        leaseHeld = true;
         leaving = leaving || entry == null;
-        lookedNanos = nowNanos;
-        silentNanos = ANSWERS;
+        lastHeartbeatNanos = nowNanos;
+        unresponsiveSinceNanos = RESPONSIVE;
     }
 
     /**
-     * A look at it was not answered.
+     * Records an unanswered heartbeat.
      *
-     * @param nowNanos the monotonic clock
-     * @param broken whether the connection broke before the look's time was over
+     * @param nowNanos current monotonic time
+     * @param connectionBroken whether the connection broke before the timeout
      */
-    void recordMissedHeartbeat(long nowNanos, boolean broken)
+    void recordMissedHeartbeat(long nowNanos, boolean connectionBroken)
     {
-        held = false;
-        if (silentNanos == ANSWERS)
+        leaseHeld = false;
+        if (unresponsiveSinceNanos == RESPONSIVE)
         {
-            silentNanos = nowNanos;
-            brokenOff = broken;
+            unresponsiveSinceNanos = nowNanos;
+            connectionLost = connectionBroken;
         }
     }
 
-    /** Whether its newest look was not answered. */
+    /** Returns whether the newest heartbeat was not answered. */
     boolean isUnresponsive()
     {
-        return silentNanos != ANSWERS;
+        return unresponsiveSinceNanos != RESPONSIVE;
     }
 
-    /** Whether no look was answered for some time, though some were sent. */
+    /** Returns whether the worker has been unresponsive for at least the given time. */
     boolean isUnresponsiveFor(long nanos, long nowNanos)
     {
-        return silentNanos != ANSWERS && nowNanos - silentNanos >= nanos;
+        return unresponsiveSinceNanos != RESPONSIVE && nowNanos - unresponsiveSinceNanos >= nanos;
     }
 
     /**
-     * Since when its looks are not answered; {@link #hasLostConnection} tells whether there is such a
-     * time.
+     * Returns the monotonic time of the first unanswered heartbeat. Only valid if
+     * {@link #isUnresponsive} holds.
      */
     long unresponsiveSinceNanos()
     {
-        return silentNanos;
+        return unresponsiveSinceNanos;
     }
 
-    /** Whether its silence began with a connection that broke, as when it crashes. */
+    /** Returns whether the worker became unresponsive by a lost connection, as in a crash. */
     boolean hasLostConnection()
     {
-        return silentNanos != ANSWERS && brokenOff;
+        return unresponsiveSinceNanos != RESPONSIVE && connectionLost;
     }
 
-    /** Whether its newest look was answered. */
+    /** Returns whether the newest heartbeat was answered. */
     boolean isResponsive()
     {
-        return held && silentNanos == ANSWERS;
+        return leaseHeld && unresponsiveSinceNanos == RESPONSIVE;
     }
 
-    /** When it last answered a look. */
+    /** Returns the monotonic time of the last answered heartbeat. */
     long lastHeartbeatNanos()
     {
-        return lookedNanos;
+        return lastHeartbeatNanos;
     }
 
     void setLeaseHeld(boolean value)
     {
-        held = value;
+        leaseHeld = value;
     }
 
-    /** A new look begins. */
+    /** Clears the orphan runs before a new heartbeat is evaluated. */
     void clearOrphanRuns()
     {
-        foreignRuns = false;
-        foreignSteps.clear();
+        hasOrphanRuns = false;
+        orphanSteps.clear();
     }
 
     /**
-     * A look showed a run that its task does not know.
+     * Records a run that the owner does not know.
      *
-     * @param step the step of the task; null if its job is not known
+     * @param step the step of the run, or null if its job is not known
      */
     void addOrphanRun(Step step)
     {
-        foreignRuns = true;
+        hasOrphanRuns = true;
         if (step != null)
         {
-            foreignSteps.add(step);
+            orphanSteps.add(step);
         }
     }
 
-    /** The steps of the unknown runs that the last look showed, where their jobs are known. */
+    /** Returns the steps of the orphan runs in the last heartbeat whose jobs are known. */
     List<Step> orphanSteps()
     {
-        return foreignSteps;
+        return orphanSteps;
     }
 
-    /** The runs that were left here. */
+    /** Returns the abandoned runs. */
     List<UnresponsiveRun> abandonedRuns()
     {
-        return leftRuns;
+        return abandonedRuns;
     }
 
-    /** Whether the last look showed runs that the owner does not know. */
+    /** Returns whether the last heartbeat reported runs that the owner does not know. */
     boolean hasOrphanRuns()
     {
-        return foreignRuns;
+        return hasOrphanRuns;
     }
 
     boolean isLeaseHeld()
     {
-        return held;
+        return leaseHeld;
     }
 
-    /** The life as text, see {@link WorkerIncarnation#text}. */
+    /** Returns the incarnation as text, see {@link WorkerIncarnation#text}. */
     String id()
     {
         return id;
     }
 
-    /** The id of the worker, which its next life may have as well. */
-    String worker()
+    /** Returns the worker id, which is shared by all incarnations of the worker. */
+    String workerId()
     {
-        return life.worker();
+        return incarnation.worker();
     }
 
-    /** Whether it is known when the life began. */
+    /** Returns whether the start time of the incarnation is known. */
     boolean hasStartTime()
     {
-        return life.hasStartTime();
+        return incarnation.hasStartTime();
     }
 
-    /** Since when this owner knows of the life. */
+    /** Returns the monotonic time at which this owner began to track the incarnation. */
     long knownNanos()
     {
-        return knownNanos;
+        return firstSeenNanos;
     }
 
     WorkerEntry entry()
@@ -365,7 +375,7 @@
         return List.copyOf(tasks);
     }
 
-    /** Visits the tasks; none may be added or taken away meanwhile. */
+    /** Calls the visitor for each task. The visitor must not add or remove tasks. */
     void forEachTask(Consumer<Task> visitor)
     {
         tasks.forEach(visitor);
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/TrackedWorkers.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/TrackedWorkers.java
@@ -15,117 +15,127 @@
 
 import org.gaugehollow.worker.WorkerEntry;
 
-/** The lives of workers that the owner knows, listed or not. Guarded by the ledger's lock. */
+/**
+ * The worker incarnations that the owner tracks, listed or not. Guarded by the lock of the cell
+ * state.
+ */
 final class TrackedWorkers
 {
     private final LongSupplier nanoTime;
-    private final long unknownLeaseEnd;
-    private final Map<String, TrackedWorker> slots = new HashMap<>();
-    /** Workers whose leases are left to lapse; a worker that is listed anew stays among them. */
-    private final Set<String> lapsing = new HashSet<>();
+    private final long defaultLeaseEndNanos;
+    private final Map<String, TrackedWorker> workers = new HashMap<>();
+    /**
+     * Incarnations whose leases are left to expire. An incarnation that is listed again remains in this
+     * set.
+     */
+    private final Set<String> expiringIds = new HashSet<>();
     private final Map<String, Long> recordedLeaseEnds = new HashMap<>();
     private final UnansweredStarts unansweredStarts = new UnansweredStarts();
 
     /**
      * @param nanoTime a monotonic clock
-     * @param unknownLeaseNanos how long after now a worker that cannot be reached may still run what an
-     *            earlier owner started
+     * @param unknownLeaseNanos how long an unreachable worker may continue the runs of an earlier
+     *            owner, from now
      */
     TrackedWorkers(LongSupplier nanoTime, long unknownLeaseNanos)
     {
         this.nanoTime = nanoTime;
-        this.unknownLeaseEnd = nanoTime.getAsLong() + unknownLeaseNanos;
+        this.defaultLeaseEndNanos = nanoTime.getAsLong() + unknownLeaseNanos;
     }
 
     Collection<TrackedWorker> all()
     {
-        return slots.values();
+        return workers.values();
     }
 
     Optional<TrackedWorker> find(String id)
     {
-        return Optional.ofNullable(slots.get(id));
+        return Optional.ofNullable(workers.get(id));
     }
 
-    /** The slot of a worker, be it listed or not. */
+    /** Returns the tracked worker with the given id, creating it if necessary. */
     TrackedWorker get(String id)
     {
-        return slots.computeIfAbsent(id, this::create);
+        return workers.computeIfAbsent(id, this::create);
     }
 
     private TrackedWorker create(String id)
     {
-        long leaseEnd = recordedLeaseEnds.getOrDefault(id, unknownLeaseEnd);
-        TrackedWorker slot = new TrackedWorker(id, leaseEnd, nanoTime.getAsLong());
-        slot.setLeaseExpiring(lapsing.contains(id));
-        return slot;
+        long leaseEnd = recordedLeaseEnds.getOrDefault(id, defaultLeaseEndNanos);
+        TrackedWorker worker = new TrackedWorker(id, leaseEnd, nanoTime.getAsLong());
+        worker.setLeaseExpiring(expiringIds.contains(id));
+        return worker;
     }
 
     /**
-     * The lives of a worker that are surely not the given one: an owner of an earlier version recorded
-     * a worker by its id alone, and may have meant that one.
+     * Returns the other incarnations of the same worker whose start time is known. One without a start
+     * time was recorded by an older version and may be the given incarnation.
      */
-    List<TrackedWorker> otherIncarnations(TrackedWorker one)
+    List<TrackedWorker> otherIncarnations(TrackedWorker worker)
     {
-        return slots.values().stream()
-                .filter(slot -> slot != one && slot.hasStartTime() && slot.worker().equals(one.worker()))
-                .toList();
+        return workers.values().stream().filter(other -> other != worker && other.hasStartTime()
+                && other.workerId().equals(worker.workerId())).toList();
     }
 
-    /** The starts that got no answer. */
+    /** Returns the unanswered starts. */
     UnansweredStarts unansweredStarts()
     {
         return unansweredStarts;
     }
 
-    /** Takes a worker's newest entry; returns the slot of the life that wrote it. */
+    /**
+     * Stores the newest entry of a worker.
+     *
+     * @return the incarnation that wrote the entry
+     */
     TrackedWorker list(WorkerEntry entry)
     {
-        TrackedWorker slot = get(entry.incarnation().text());
-        slot.setEntry(entry, nanoTime.getAsLong());
-        return slot;
+        TrackedWorker worker = get(entry.incarnation().text());
+        worker.setEntry(entry, nanoTime.getAsLong());
+        return worker;
     }
 
-    /** Drops a worker that is no longer listed and holds nothing. */
-    void unlist(TrackedWorker slot)
+    /** Removes an unlisted worker that has no tasks. */
+    void unlist(TrackedWorker worker)
     {
-        if (slot.isIdle())
+        if (worker.isIdle())
         {
-            slots.remove(slot.id());
+            workers.remove(worker.id());
         }
     }
 
-    /** Workers whose leases have surely lapsed and that still hold tasks. */
+    /** Returns the workers that still have tasks although their leases have certainly expired. */
     List<TrackedWorker> withExpiredLease()
     {
-        long now = nanoTime.getAsLong();
-        return slots.values().stream().filter(slot -> !slot.isIdle() && now - slot.leaseEndNanos() > 0)
-                .toList();
+        long nowNanos = nanoTime.getAsLong();
+        return workers.values().stream()
+                .filter(worker -> !worker.isIdle() && nowNanos - worker.leaseEndNanos() > 0).toList();
     }
 
     /**
-     * Takes over what the owner before recorded; comes before any job or worker is known.
+     * Restores the expiring leases that the previous owner recorded. Must be called before any job or
+     * worker is known.
      *
-     * @param leaseEnds by worker, the time of the monotonic clock at which its lease is over
+     * @param leaseEnds monotonic time of the end of each lease by incarnation
      */
     void restoreExpiringLeases(Map<String, Long> leaseEnds)
     {
         recordedLeaseEnds.putAll(leaseEnds);
-        lapsing.addAll(leaseEnds.keySet());
+        expiringIds.addAll(leaseEnds.keySet());
     }
 
-    /** A worker's lease is not renewed from now on. */
-    void stopLeaseRenewal(TrackedWorker slot)
+    /** Stops renewing the lease of a worker. */
+    void stopLeaseRenewal(TrackedWorker worker)
     {
-        lapsing.add(slot.id());
-        slot.setLeaseExpiring(true);
+        expiringIds.add(worker.id());
+        worker.setLeaseExpiring(true);
     }
 
-    /** A worker's lease may be renewed again. */
+    /** Allows the lease of a worker to be renewed again. */
     void resumeLeaseRenewal(String id)
     {
-        lapsing.remove(id);
+        expiringIds.remove(id);
         recordedLeaseEnds.remove(id);
-        find(id).ifPresent(slot -> slot.setLeaseExpiring(false));
+        find(id).ifPresent(worker -> worker.setLeaseExpiring(false));
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/UnansweredStarts.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/UnansweredStarts.java
@@ -11,55 +11,56 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Starts that got no answer. Each may be carried out seconds later, and then by the next life of
- * the worker, which has the same id and accepts the same fencing token. Not thread-safe; used under
- * the ledger's lock.
+ * Starts that were not answered. Each may be executed seconds later, even by the next incarnation
+ * of the worker, which has the same id and accepts the same fencing token.
+ * <p>
+ * Not thread-safe; guarded by the lock of the cell state.
  */
 final class UnansweredStarts
 {
-    /** So long after it was sent a start is carried out at the latest. */
-    private static final long LATEST_ARRIVAL_NANOS = TimeUnit.SECONDS.toNanos(15);
+    /** Longest time between sending a start and its execution. */
+    private static final long MAX_DELIVERY_DELAY_NANOS = TimeUnit.SECONDS.toNanos(15);
 
-    private final List<Sent> sent = new ArrayList<>();
+    private final List<SentStart> sentStarts = new ArrayList<>();
 
     /**
      * A start that may still arrive.
      *
-     * @param slot the life that it was sent to
-     * @param task the task's full name
-     * @param run the number of the run
-     * @param sentNanos when it was sent, on the monotonic clock
+     * @param worker the incarnation that it was sent to
+     * @param task the full name of the task
+     * @param run the run number
+     * @param sentNanos monotonic time at which it was sent
      */
-    private record Sent(TrackedWorker slot, String task, int run, long sentNanos)
+    private record SentStart(TrackedWorker worker, String task, int run, long sentNanos)
     {
         private boolean mayArrive(long nowNanos)
         {
-            return nowNanos - sentNanos < LATEST_ARRIVAL_NANOS;
+            return nowNanos - sentNanos < MAX_DELIVERY_DELAY_NANOS;
         }
 
-        private boolean isForEarlierLifeThan(TrackedWorker newest)
+        private boolean isForEarlierIncarnationThan(TrackedWorker current)
         {
-            return slot != newest && slot.worker().equals(newest.worker());
+            return worker != current && worker.workerId().equals(current.workerId());
         }
     }
 
-    /** A start was sent to a life of a worker and not answered. */
-    void add(TrackedWorker slot, String task, int run, long nowNanos)
+    /** Adds a start that was sent to a worker incarnation and not answered. */
+    void add(TrackedWorker worker, String task, int run, long nowNanos)
     {
-        sent.removeIf(start -> !start.mayArrive(nowNanos));
-        sent.add(new Sent(slot, task, run, nowNanos));
+        sentStarts.removeIf(start -> !start.mayArrive(nowNanos));
+        sentStarts.add(new SentStart(worker, task, run, nowNanos));
     }
 
     /**
-     * The starts for earlier lives of a worker that its present life may carry out: by task, the
-     * highest run. A stop of that run bars those below it as well.
+     * Returns the starts for earlier incarnations of a worker that its current incarnation may execute,
+     * as the highest run by task. A stop of that run also blocks the lower ones.
      */
-    Map<String, Integer> forEarlierIncarnations(TrackedWorker slot, long nowNanos)
+    Map<String, Integer> forEarlierIncarnations(TrackedWorker worker, long nowNanos)
     {
         Map<String, Integer> runs = new HashMap<>();
-        for (Sent start : sent)
+        for (SentStart start : sentStarts)
         {
-            if (start.mayArrive(nowNanos) && start.isForEarlierLifeThan(slot))
+            if (start.mayArrive(nowNanos) && start.isForEarlierIncarnationThan(worker))
             {
                 runs.merge(start.task(), start.run(), Math::max);
             }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/UnresponsiveRun.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/UnresponsiveRun.java
@@ -7,26 +7,27 @@
 import org.gaugehollow.job.CrashHistory.Attribution;
 
 /**
- * A run on a worker that does not answer or has crashed.
+ * A run on a worker that is unresponsive or has crashed.
  *
- * @param task its task, which may have another run elsewhere by now
- * @param run its number
- * @param hasBegun whether the worker is known to have had it
- * @param lastedMillis how long it was at work, in milliseconds: until the connection to its worker
- *            broke, or for as long as it was seen where nothing broke
+ * @param task the task, which may have another run elsewhere
+ * @param run the run number
+ * @param hasBegun whether the worker is known to have started the run
+ * @param durationMillis run time in milliseconds until the connection to the worker was lost, or
+ *            the observed run time if no connection was lost
  */
-record UnresponsiveRun(Task task, int run, boolean hasBegun, long lastedMillis)
+record UnresponsiveRun(Task task, int run, boolean hasBegun, long durationMillis)
 {
-    /** The newest run of a task on a worker. */
-    static UnresponsiveRun of(Task task, TrackedWorker slot)
+    /** Creates a record of the newest run of a task on a worker. */
+    static UnresponsiveRun of(Task task, TrackedWorker worker)
     {
-        long lasted = slot.hasLostConnection()
-                ? task.millisUntil(slot.unresponsiveSinceNanos())
+        long elapsedMillis = worker.hasLostConnection()
+                ? task.millisUntil(worker.unresponsiveSinceNanos())
                 : task.seenMillis();
-        return new UnresponsiveRun(task, task.run(), task.hasBegun(), Math.max(lasted, task.seenMillis()));
+        return new UnresponsiveRun(task, task.run(), task.hasBegun(),
+                Math.max(elapsedMillis, task.seenMillis()));
     }
 
-    /** What it says of its task that the worker crashed. */
+    /** Returns how far a crash of the worker is attributed to the task. */
     Attribution attribution()
     {
         if (!hasBegun)
@@ -36,9 +37,9 @@
         return hadJustStarted() ? Attribution.AT_START : Attribution.LATER;
     }
 
-    /** Whether it may have crashed its worker by its start. */
+    /** Returns whether the run may have crashed its worker at its start. */
     boolean hadJustStarted()
     {
-        return lastedMillis < CrashGuard.TRIAL_MILLIS;
+        return durationMillis < CrashGuard.TRIAL_MILLIS;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/UnresponsiveWorkerGuard.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/UnresponsiveWorkerGuard.java
@@ -9,60 +9,66 @@
 import java.util.concurrent.TimeUnit;
 
 /**
- * Lets tasks of which copies may run side by side go on elsewhere while their worker does not
- * answer. All other tasks wait until the worker's lease has surely lapsed. Not thread-safe; used
- * under the ledger's lock.
+ * Abandons the runs of tasks that allow duplicate runs while their worker is unresponsive, so that
+ * they can be started elsewhere. All other tasks wait until the lease of the worker has certainly
+ * expired.
+ * <p>
+ * Not thread-safe; guarded by the lock of the cell state.
  */
 final class UnresponsiveWorkerGuard
 {
-    /** Long enough for the next look to be answered where only one connection was lost. */
-    private static final long SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
+    /** Leaves time for the next heartbeat to be answered if only one connection was lost. */
+    private static final long MIN_UNRESPONSIVE_NANOS = TimeUnit.MILLISECONDS.toNanos(400);
 
-    private final CellState ledger;
+    private final CellState cellState;
 
     /**
-     * A run that was left where it is.
+     * A run that was abandoned.
      *
-     * @param task the name of its task
-     * @param run its number
-     * @param worker the worker that does not answer
+     * @param task the name of the task
+     * @param run the run number
+     * @param worker the id of the unresponsive worker
      */
     record AbandonedRun(String task, int run, String worker)
     {
     }
 
-    UnresponsiveWorkerGuard(CellState ledger)
+    UnresponsiveWorkerGuard(CellState cellState)
     {
-        this.ledger = ledger;
+        this.cellState = cellState;
     }
 
-    /** Frees the tasks for another run and tells which runs were left. */
+    /**
+     * Abandons runs on unresponsive workers.
+     *
+     * @return the abandoned runs
+     */
     List<AbandonedRun> check(long nowNanos)
     {
-        List<AbandonedRun> left = new ArrayList<>();
-        for (TrackedWorker slot : ledger.workers())
+        List<AbandonedRun> abandoned = new ArrayList<>();
+        for (TrackedWorker worker : cellState.workers())
         {
-            if (slot.isUnresponsiveFor(SILENCE_NANOS, nowNanos))
+            if (worker.isUnresponsiveFor(MIN_UNRESPONSIVE_NANOS, nowNanos))
             {
-                leaveCopies(slot, left);
+                abandonRuns(worker, abandoned);
             }
         }
-        return left;
+        return abandoned;
     }
 
     /**
-     * Only runs whose start was answered: a start that may still arrive must be stopped before anything
-     * else can be started on the worker.
+     * Abandons only runs whose start was answered: a start that may still arrive must be stopped before
+     * anything else is started on the worker.
      */
-    private void leaveCopies(TrackedWorker slot, List<AbandonedRun> left)
+    private void abandonRuns(TrackedWorker worker, List<AbandonedRun> abandoned)
     {
-        for (Task task : slot.tasks())
+        for (Task task : worker.tasks())
         {
             if (task.phase() == Task.Phase.RUNNING && task.mayHaveCopies()
-                    && ledger.crashGuard().mayAbandonRun(task, slot))
+                    && cellState.crashGuard().mayAbandonRun(task, worker))
             {
-                ledger.crashGuard().onRunAbandoned(task, slot);
-                left.add(new AbandonedRun(task.name(), task.run(), slot.id()));
+                cellState.crashGuard().onRunAbandoned(task, worker);
+                abandoned.add(new AbandonedRun(task.name(), task.run(), worker.id()));
                 task.abandonRun();
             }
         }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerCommands.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerCommands.java
@@ -14,95 +14,98 @@
 import org.gaugehollow.worker.WorkerPort;
 
 /**
- * The owner's starts and changes of pace on one life of a worker. Each start is sent until it is
- * known what became of it; one of which that cannot be known is stopped.
+ * Sends start and throttle commands to one worker incarnation. A start is repeated until its
+ * outcome is known; if the outcome remains unknown, the run is stopped.
  */
 final class WorkerCommands
 {
-    private static final int ORDER_MILLIS = 350;
-    private static final int START_TRIES = 3;
+    private static final int COMMAND_TIMEOUT_MILLIS = 350;
+    private static final int MAX_ATTEMPTS = 3;
 
     private final OwnerTerm term;
-    private final TrackedWorker slot;
+    private final TrackedWorker worker;
     private final WorkerPort port;
-    private final StopCommands stops;
+    private final StopCommands stopCommands;
 
-    WorkerCommands(OwnerTerm term, TrackedWorker slot, WorkerPort port)
+    WorkerCommands(OwnerTerm term, TrackedWorker worker, WorkerPort port)
     {
         this.term = term;
-        this.slot = slot;
+        this.worker = worker;
         this.port = port;
-        this.stops = new StopCommands(term, slot, port);
+        this.stopCommands = new StopCommands(term, worker, port);
     }
 
-    /** The stops of runs on the worker. */
+    /** Returns the stop commands for the worker. */
     StopCommands stops()
     {
-        return stops;
+        return stopCommands;
     }
 
-    /** Sends a start until its outcome is known. */
+    /** Sends a start until its outcome is known or the attempts are exhausted. */
     void start(Planner.Start start) throws InterruptedException
     {
-        if (hasTicketLapsed(start))
+        if (hasTicketExpired(start))
         {
-            decideAnew(start, "its ticket has lapsed");
+            revertStart(start, "its ticket has expired");
             return;
         }
-        boolean mayCome = false;
-        for (int i = 0; i < START_TRIES; i++)
+        boolean mayArrive = false;
+        for (int i = 0; i < MAX_ATTEMPTS; i++)
         {
-            StartCommand order = startOrder(start);
-            if (order == null)
+            StartCommand command = createCommand(start);
+            if (command == null)
             {
-                takeBack(start, mayCome);
+                handleUnsendableStart(start, mayArrive);
                 return;
             }
-            CommandReply answer = port.start(order, ORDER_MILLIS);
-            if (answer.result() == CommandResult.UNKNOWN)
+            CommandReply reply = port.start(command, COMMAND_TIMEOUT_MILLIS);
+            if (reply.result() == CommandResult.UNKNOWN)
             {
-                mayCome = true;
-                noteUnanswered(order);
+                mayArrive = true;
+                recordUnanswered(command);
             }
-            else if (answer.result() != CommandResult.NOT_SENT)
+            else if (reply.result() != CommandResult.NOT_SENT)
             {
-                settleStart(start, answer, mayCome);
+                handleReply(start, reply, mayArrive);
                 return;
             }
         }
-        stopInstead(start);
+        stopUncertainStart(start);
     }
 
-    private void noteUnanswered(StartCommand order)
+    private void recordUnanswered(StartCommand command)
     {
         synchronized (term.cellState())
         {
-            term.cellState().slots().unansweredStarts().add(slot, order.task(), order.run(),
+            term.cellState().slots().unansweredStarts().add(worker, command.task(), command.run(),
                     SteadyClock.nanos());
         }
-        term.events().record(EventType.ORDER_UNANSWERED, order.task(), "start on " + slot.id());
+        term.events().record(EventType.ORDER_UNANSWERED, command.task(), "start on " + worker.id());
     }
 
-    /** The order for a start; null if it is no longer wanted or may not be sent. */
-    private StartCommand startOrder(Planner.Start start)
+    /**
+     * Creates the command for a start, or returns null if the start is no longer pending or must not be
+     * sent.
+     */
+    private StartCommand createCommand(Planner.Start start)
     {
         synchronized (term.cellState())
         {
-            if (!isWanted(start) || obstacle() != null)
+            if (!isPending(start) || blockingReason() != null)
             {
                 return null;
             }
             Task task = start.task();
             task.sent();
-            long deadline = slot.deadlineIn(WorkerSession.LEASE_MILLIS, SteadyClock.nanos());
+            long deadlineMillis = worker.extendDeadline(WorkerSession.LEASE_MILLIS, SteadyClock.nanos());
             return new StartCommand(task.name(), start.run(), task.step().job().record().job().spec(),
-                    deadline, term.lease().fence(), start.checkpoint(), newestTicket(start));
+                    deadlineMillis, term.lease().fence(), start.checkpoint(), newestTicket(start));
         }
     }
 
     /**
-     * The ticket with which a start was decided may have lapsed while its placement was being written;
-     * the step may have a newer one by then. Called under the ledger's lock.
+     * Returns the newest ticket for a start. The one with which the start was decided may have expired
+     * while its placement was written. Requires the lock of the cell state.
      */
     private String newestTicket(Planner.Start start)
     {
@@ -110,85 +113,87 @@
         {
             return null;
         }
-        return term.adviceCache().ticket(start.task().step(), slot).orElse(start.ticket());
+        return term.adviceCache().ticket(start.task().step(), worker).orElse(start.ticket());
     }
 
     /**
-     * Why no start may be sent to the worker now; null if one may. Called under the ledger's lock. The
-     * room is looked at again, since it may have shrunk while the placement was being written: two
-     * starts of four went over it.
+     * Returns the reason why no start may be sent to the worker now, or null if there is none. The
+     * capacity is checked again because it may have shrunk while the placement was written. Requires
+     * the lock of the cell state.
      */
-    private String obstacle()
+    private String blockingReason()
     {
         if (!term.lease().maySendCommands())
         {
             return "the term is not confirmed";
         }
-        if (slot.isLeaseExpiring())
+        if (worker.isLeaseExpiring())
         {
-            return "the worker is silent";
+            return "the lease of the worker is not renewed";
         }
-        return slot.isOvercommitted() ? "the worker's room has shrunk" : null;
+        return worker.isOvercommitted() ? "the capacity of the worker has shrunk" : null;
     }
 
-    /** Whether the task still is to be started here; called under the ledger's lock. */
-    private boolean isWanted(Planner.Start start)
+    /** Returns whether the task is still to be started here. Requires the lock of the cell state. */
+    private boolean isPending(Planner.Start start)
     {
         Task task = start.task();
-        return task.isAt(slot, start.run()) && task.phase() == Task.Phase.ORDERED;
+        return task.isAt(worker, start.run()) && task.phase() == Task.Phase.ORDERED;
     }
 
-    /** Whether a start's ticket lapsed while its placement was being written. */
-    private boolean hasTicketLapsed(Planner.Start start)
+    /** Returns whether the ticket of a start expired while its placement was written. */
+    private boolean hasTicketExpired(Planner.Start start)
     {
         synchronized (term.cellState())
         {
-            return start.ticket() != null && term.adviceCache().ticket(start.task().step(), slot).isEmpty();
+            return start.ticket() != null && term.adviceCache().ticket(start.task().step(), worker).isEmpty();
         }
     }
 
     /**
-     * Settles a start that may not be sent, or not once more. What stands against it may be over again,
-     * and the task would stay placed for good.
+     * Handles a start that must not be sent, or not be sent again. The reason may no longer hold, but
+     * the start must be settled in any case or the task would stay placed.
      */
-    private void takeBack(Planner.Start start, boolean mayCome) throws InterruptedException
+    private void handleUnsendableStart(Planner.Start start, boolean mayArrive) throws InterruptedException
     {
-        String why;
+        String reason;
         synchronized (term.cellState())
         {
-            if (!isWanted(start) || term.lease().hasEnded())
+            if (!isPending(start) || term.lease().hasEnded())
             {
                 return;
             }
-            why = obstacle();
+            reason = blockingReason();
         }
-        if (mayCome)
+        if (mayArrive)
         {
-            stopInstead(start);
+            stopUncertainStart(start);
             return;
         }
-        decideAnew(start, why == null ? "an obstacle that is over again" : why);
+        revertStart(start, reason == null ? "temporarily blocked" : reason);
     }
 
-    /** Takes a start back that was never sent, so that the task is placed again. */
-    private void decideAnew(Planner.Start start, String why)
+    /** Reverts a start that was never sent, so that the task is placed again. */
+    private void revertStart(Planner.Start start, String reason)
     {
         Effects effects = new Effects();
         synchronized (term.cellState())
         {
-            if (!isWanted(start))
+            if (!isPending(start))
             {
                 return;
             }
             release(start.task(), effects);
         }
         term.events().record(EventType.TASK_STARTED, start.task().name(),
-                "run " + start.run() + " on " + slot.id() + ": not sent, " + why);
+                "run " + start.run() + " on " + worker.id() + ": not sent, " + reason);
         term.apply(effects);
         term.wake();
     }
 
-    /** Nothing of the task runs; a gang of which one member is missing is stopped. */
+    /**
+     * Releases a task that has no run. If one member of a gang is missing, the whole gang is stopped.
+     */
     private static void release(Task task, Effects effects)
     {
         CellState.release(task, effects);
@@ -198,102 +203,102 @@
         }
     }
 
-    private void settleStart(Planner.Start start, CommandReply answer, boolean mayCome)
+    private void handleReply(Planner.Start start, CommandReply reply, boolean mayArrive)
             throws InterruptedException
     {
-        CommandResult result = answer.result();
+        CommandResult result = reply.result();
         Task task = start.task();
         term.events().record(EventType.TASK_STARTED, task.name(),
-                "run " + start.run() + " on " + slot.id() + ": " + result);
+                "run " + start.run() + " on " + worker.id() + ": " + result);
         if (result == CommandResult.FENCED)
         {
-            term.onFenced(slot);
+            term.onFenced(worker);
             return;
         }
         if (result == CommandResult.OTHER_LIFE)
         {
-            term.onIncarnationChanged(slot);
+            term.onIncarnationChanged(worker);
             return;
         }
-        if (result != CommandResult.DONE && mayCome)
+        if (result != CommandResult.DONE && mayArrive)
         {
-            stopInstead(start);
+            stopUncertainStart(start);
             return;
         }
         Effects effects = new Effects();
         synchronized (term.cellState())
         {
-            long now = SteadyClock.nanos();
-            slot.readClock(answer.clockMillis(), now);
-            if (!task.isAt(slot, start.run()))
+            long nowNanos = SteadyClock.nanos();
+            worker.readClock(reply.clockMillis(), nowNanos);
+            if (!task.isAt(worker, start.run()))
             {
                 return;
             }
             if (result == CommandResult.DONE)
             {
-                task.startAnswered(now);
+                task.startAnswered(nowNanos);
                 return;
             }
-            refused(task, result, now, effects);
+            handleRefusal(task, result, nowNanos, effects);
         }
         term.apply(effects);
         term.wake();
     }
 
-    private void refused(Task task, CommandResult result, long now, Effects effects)
+    private void handleRefusal(Task task, CommandResult result, long nowNanos, Effects effects)
     {
         release(task, effects);
         if (result == CommandResult.BAD_TICKET)
         {
-            term.adviceCache().drop(task.step(), slot);
+            term.adviceCache().discardTicket(task.step(), worker);
         }
         else
         {
-            slot.health().recordRefusal(now);
+            worker.health().recordRefusal(nowNanos);
         }
     }
 
-    /** Makes sure that a start that may still arrive can do nothing. */
-    private void stopInstead(Planner.Start start) throws InterruptedException
+    /** Stops a run whose start may still arrive. */
+    private void stopUncertainStart(Planner.Start start) throws InterruptedException
     {
         Effects effects = new Effects();
         synchronized (term.cellState())
         {
-            slot.health().recordRefusal(SteadyClock.nanos());
-            if (isWanted(start))
+            worker.health().recordRefusal(SteadyClock.nanos());
+            if (isPending(start))
             {
                 effects.stop(start.task());
             }
         }
         for (Effects.Stop stop : effects.stops())
         {
-            stops.send(stop);
+            stopCommands.send(stop);
         }
     }
 
-    /** Lets tasks that fill the room of others work less or more. */
+    /** Adjusts the speed limits of best-effort tasks. */
     void adjustSpeedLimits()
     {
-        List<ThrottleController.Change> changes;
+        List<ThrottleController.SpeedLimitChange> changes;
         synchronized (term.cellState())
         {
-            changes = ThrottleController.adjust(slot, SteadyClock.nanos());
+            changes = ThrottleController.adjust(worker, SteadyClock.nanos());
         }
-        for (ThrottleController.Change change : changes)
+        for (ThrottleController.SpeedLimitChange change : changes)
         {
-            term.events().record(EventType.TASK_PACED, change.task().name(),
-                    "run " + change.run() + " on " + slot.id() + " to " + change.percent() + " %");
-            OwnerTerm.inBackground("pace-" + change.task().name(), () -> pace(change));
+            term.events().record(EventType.TASK_PACED, change.task().name(), "run " + change.run() + " on "
+                    + worker.id() + ": speed limit " + change.percent() + " %");
+            OwnerTerm.inBackground("pace-" + change.task().name(), () -> sendSpeedLimit(change));
         }
     }
 
-    private void pace(ThrottleController.Change change) throws InterruptedException
+    private void sendSpeedLimit(ThrottleController.SpeedLimitChange change) throws InterruptedException
     {
-        for (int i = 0; i < START_TRIES; i++)
+        for (int i = 0; i < MAX_ATTEMPTS; i++)
         {
-            CommandReply answer = port.throttle(change.task().name(), change.run(), change.percent(),
-                    term.lease().fence(), ORDER_MILLIS);
-            if (answer.result().isSettled())
+            CommandReply reply = port.throttle(change.task().name(), change.run(), change.percent(),
+                    term.lease().fence(), COMMAND_TIMEOUT_MILLIS);
+            if (reply.result().isSettled())
             {
                 return;
             }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerLossCause.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerLossCause.java
@@ -4,26 +4,26 @@
  */
 package org.gaugehollow.schedule;
 
-/** How it is known that nothing of a worker's runs is left. */
+/** Reason why all runs of a worker are known to have ended. */
 enum WorkerLossCause
 {
-    /** Another life answers at its address, though it had not said that it leaves. */
-    CRASHED("another life answers at its address"),
-    /** Another life answers at its address, as it had announced. */
-    LEFT("another life answers at its address, it had said that it leaves"),
-    /** It has not answered until its lease was over; whether it lives is not known. */
-    LAPSED("its lease has lapsed");
+    /** Another incarnation answers at the address, and the worker had not announced that it leaves. */
+    CRASHED("another incarnation answers at its address"),
+    /** Another incarnation answers at the address, and the worker had announced that it leaves. */
+    LEFT("another incarnation answers at its address after it announced that it leaves"),
+    /** The worker did not answer until its lease expired; it may still be alive. */
+    LAPSED("its lease has expired");
 
-    private final String evidence;
+    private final String description;
 
-    WorkerLossCause(String evidence)
+    WorkerLossCause(String description)
     {
-        this.evidence = evidence;
+        this.description = description;
     }
 
-    /** What shows it, for the log. */
+    /** Returns a description for the log. */
     String description()
     {
-        return evidence;
+        return description;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerSession.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerSession.java
@@ -19,102 +19,108 @@
 import org.gaugehollow.worker.WorkerPort;
 
 /**
- * The owner's session with one life of a worker: it looks at the worker again and again, which
- * renews the worker's lease and takes note of ends once they are written.
+ * The owner's session with one worker incarnation. Sends heartbeats, which renew the lease of the
+ * worker and acknowledge run ends after they have been stored.
  */
 final class WorkerSession implements SupervisedTask, AutoCloseable
 {
-    /** How long the runs on a worker live on when nothing is heard from the owner, in milliseconds. */
+    /** Time for which runs continue without contact to the owner. */
     static final long LEASE_MILLIS = 6_000;
 
-    /** In a look: leave the lease as it is. */
-    private static final long LEAVE_LEASE = 0;
+    /** Deadline in a heartbeat that leaves the lease unchanged. */
+    private static final long KEEP_LEASE = 0;
 
     private static final int BUSY_WAIT_MILLIS = 700;
     private static final int IDLE_WAIT_MILLIS = 2_000;
     private static final int SHORT_WAIT_MILLIS = 500;
-    private static final int HOLD_SLACK_MILLIS = 400;
-    private static final int RETRY_MILLIS = 150;
-    private static final int RECORD_MILLIS = 400;
+    private static final int HEARTBEAT_SLACK_MILLIS = 400;
+    private static final int RETRY_DELAY_MILLIS = 150;
+    private static final int WRITE_TIMEOUT_MILLIS = 400;
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
     private final OwnerTerm term;
-    private final TrackedWorker slot;
+    private final TrackedWorker worker;
     private final WorkerPort port;
-    private final WorkerCommands orders;
-    private CompletableFuture<Void> recording = CompletableFuture.completedFuture(null);
-    private long lastSeen;
-    private long recordingUpTo;
+    private final WorkerCommands commands;
+    private CompletableFuture<Void> pendingWrites = CompletableFuture.completedFuture(null);
+    private long lastAckedEnd;
+    private long lastReadEnd;
     private boolean reachable = true;
-    private boolean answered;
+    private boolean hasAnswered;
 
-    WorkerSession(OwnerTerm term, TrackedWorker slot, WorkerPort port)
+    WorkerSession(OwnerTerm term, TrackedWorker worker, WorkerPort port)
     {
         this.term = term;
-        this.slot = slot;
+        this.worker = worker;
         this.port = port;
-        this.orders = new WorkerCommands(term, slot, port);
+        this.commands = new WorkerCommands(term, worker, port);
     }
 
-    /** The orders to the worker. */
+    /** Returns the commands for the worker. */
     WorkerCommands orders()
     {
-        return orders;
+        return commands;
     }
 
     @Override
     public void run() throws InterruptedException
     {
-        boolean ended = false;
-        while (!ended && !term.lease().hasEnded())
+        boolean hasEnded = false;
+        while (!hasEnded && !term.lease().hasEnded())
         {
-            ended = lookIfConfirmed();
+            hasEnded = sendHeartbeatIfConfirmed();
         }
     }
 
     /**
-     * Looks at the worker once; true when the session is over. A term that is not confirmed may be
-     * confirmed again, as after a pause of the whole process, and then goes on with its workers.
+     * Sends one heartbeat if the term is confirmed; otherwise waits, since an unconfirmed term may be
+     * confirmed again, for example after the process was paused.
+     *
+     * @return whether the session has ended
      */
-    private boolean lookIfConfirmed() throws InterruptedException
+    private boolean sendHeartbeatIfConfirmed() throws InterruptedException
     {
         if (term.lease().maySendCommands())
         {
-            return lookOnce();
+            return sendHeartbeat();
         }
-        Thread.sleep(RETRY_MILLIS);
+        Thread.sleep(RETRY_DELAY_MILLIS);
         return false;
     }
 
-    /** Looks at the worker once; true when the session is over. */
-    private boolean lookOnce() throws InterruptedException
+    /**
+     * Sends one heartbeat.
+     *
+     * @return whether the session has ended
+     */
+    private boolean sendHeartbeat() throws InterruptedException
     {
-        boolean blocked = awaitRecords();
-        HeartbeatRequest order = holdOrder(blocked);
+        boolean hasPendingWrites = awaitWrites();
+        HeartbeatRequest request = createRequest(hasPendingWrites);
         long sentNanos = SteadyClock.nanos();
-        int timeoutMillis = order.waitMillis() + HOLD_SLACK_MILLIS;
-        HeartbeatReply answer = port.heartbeat(order, timeoutMillis);
-        switch (answer.result())
+        int timeoutMillis = request.waitMillis() + HEARTBEAT_SLACK_MILLIS;
+        HeartbeatReply reply = port.heartbeat(request, timeoutMillis);
+        switch (reply.result())
         {
-            case DONE -> took(answer, sentNanos);
+            case DONE -> handleReply(reply, sentNanos);
             case FENCED -> {
-                term.onFenced(slot);
+                term.onFenced(worker);
                 return true;
             }
             case OTHER_LIFE -> {
-                term.onIncarnationChanged(slot);
+                term.onIncarnationChanged(worker);
                 return true;
             }
-            case NOT_SENT -> Thread.sleep(RETRY_MILLIS);
+            case NOT_SENT -> Thread.sleep(RETRY_DELAY_MILLIS);
             default -> {
-                noteReach(false, () -> "a look ended as " + answer.result() + "; " + leaseLeft());
-                noteMiss(SteadyClock.nanos() - sentNanos < timeoutMillis * NANOS_PER_MILLI);
+                updateReachable(false, () -> "heartbeat result " + reply.result() + "; " + describeLease());
+                recordMiss(SteadyClock.nanos() - sentNanos < timeoutMillis * NANOS_PER_MILLI);
                 if (isUnlistedAndIdle())
                 {
-                    term.onSessionEnded(slot);
+                    term.onSessionEnded(worker);
                     return true;
                 }
-                Thread.sleep(RETRY_MILLIS);
+                Thread.sleep(RETRY_DELAY_MILLIS);
             }
         }
         return false;
@@ -124,81 +130,88 @@
     {
         synchronized (term.cellState())
         {
-            return slot.entry() == null && slot.isIdle();
+            return worker.entry() == null && worker.isIdle();
         }
     }
 
     /**
-     * A look renews the worker's lease only if the one before was answered. Else the lease of a worker
-     * that is gone would never be known to be over: each look may have arrived.
+     * Creates the next heartbeat. It renews the lease only if the previous heartbeat was answered.
+     * Otherwise the end of the lease of a dead worker would never be known, since any unanswered
+     * heartbeat may have arrived.
      */
-    private HeartbeatRequest holdOrder(boolean blocked)
+    private HeartbeatRequest createRequest(boolean hasPendingWrites)
     {
         synchronized (term.cellState())
         {
-            long deadline = reachable ? slot.deadlineIn(LEASE_MILLIS, SteadyClock.nanos()) : LEAVE_LEASE;
-            boolean first = !slot.isLeaseHeld();
-            return new HeartbeatRequest(term.lease().fence(), lastSeen, deadline,
-                    blocked || first ? 0 : waitMillis());
+            long deadlineMillis = reachable
+                    ? worker.extendDeadline(LEASE_MILLIS, SteadyClock.nanos())
+                    : KEEP_LEASE;
+            boolean isFirst = !worker.isLeaseHeld();
+            return new HeartbeatRequest(term.lease().fence(), lastAckedEnd, deadlineMillis,
+                    hasPendingWrites || isFirst ? 0 : waitMillis());
         }
     }
 
     /**
-     * How long a look may wait for an end. Runs that the owner does not know are looked for soon again:
-     * where their stops got lost, they would go on for the long wait of an idle worker. Nothing else
-     * begins on a worker while a suspect is on trial there, so that is looked at soon, too.
+     * Returns how long the worker may delay its reply until a run ends. The wait is short while the
+     * worker has orphan runs, whose stops may have been lost, or an isolated suspect, since nothing
+     * else may start there.
      */
     private int waitMillis()
     {
-        if (slot.hasOrphanRuns() || term.cellState().crashGuard().isolationWorkers().contains(slot)
-                || ThrottleController.isShared(slot))
+        if (worker.hasOrphanRuns() || term.cellState().crashGuard().isolationWorkers().contains(worker)
+                || ThrottleController.isShared(worker))
         {
             return SHORT_WAIT_MILLIS;
         }
-        return slot.isIdle() ? IDLE_WAIT_MILLIS : BUSY_WAIT_MILLIS;
+        return worker.isIdle() ? IDLE_WAIT_MILLIS : BUSY_WAIT_MILLIS;
     }
 
-    private void took(HeartbeatReply answer, long sentNanos)
+    private void handleReply(HeartbeatReply reply, long sentNanos)
     {
-        if (!answered)
+        if (!hasAnswered)
         {
-            answered = true;
-            term.endOtherIncarnations(slot, sentNanos);
-            orders.stops().blockStartsForEarlierIncarnations();
+            hasAnswered = true;
+            term.endOtherIncarnations(worker, sentNanos);
+            commands.stops().blockStartsForEarlierIncarnations();
         }
-        boolean isBack = !reachable;
-        noteReach(true, () -> "a look ended as " + answer.result() + "; " + account(answer));
-        long newest = recordingUpTo;
-        for (EndedRun end : answer.ended())
+        boolean hasRecovered = !reachable;
+        updateReachable(true, () -> "heartbeat result " + reply.result() + "; " + describeDifference(reply));
+        long newestEnd = lastReadEnd;
+        for (EndedRun end : reply.ended())
         {
-            newest = Math.max(newest, end.number());
+            newestEnd = Math.max(newestEnd, end.number());
         }
         Effects effects;
         synchronized (term.cellState())
         {
-            // Ends that this session has read before are in its recording already.
-            effects = term.cellState().applyHeartbeat(slot, answer, recordingUpTo, sentNanos);
+            // Run ends that this session has read before are already being written.
+            effects = term.cellState().applyHeartbeat(worker, reply, lastReadEnd, sentNanos);
         }
-        if (isBack)
+        if (hasRecovered)
         {
             term.onWorkerRecovered();
         }
-        term.logEnds(slot, answer, recordingUpTo);
-        orders.adjustSpeedLimits();
-        orders.stops().sendOpen();
+        term.logEnds(worker, reply, lastReadEnd);
+        commands.adjustSpeedLimits();
+        commands.stops().sendPending();
         CompletableFuture<Void> written = new CompletableFuture<>();
         term.apply(effects, () -> written.complete(null));
-        recording = CompletableFuture.allOf(recording, written);
-        recordingUpTo = newest;
+        pendingWrites = CompletableFuture.allOf(pendingWrites, written);
+        lastReadEnd = newestEnd;
     }
 
-    /** Waits until the ends are written; true if they still are not. */
-    private boolean awaitRecords() throws InterruptedException
+    /**
+     * Waits until the run ends that were read are stored.
+     *
+     * @return whether the wait timed out
+     */
+    private boolean awaitWrites() throws InterruptedException
     {
         try
         {
-            recording.get(RECORD_MILLIS, TimeUnit.MILLISECONDS);
-            lastSeen = recordingUpTo;
+            pendingWrites.get(WRITE_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
+            lastAckedEnd = lastReadEnd;
             return false;
         }
         catch (TimeoutException e)
@@ -211,44 +224,43 @@
         }
     }
 
-    private void noteReach(boolean now, Supplier<String> text)
+    private void updateReachable(boolean isReachable, Supplier<String> details)
     {
-        if (now != reachable)
+        if (isReachable != reachable)
         {
-            reachable = now;
-            EventType type = now ? EventType.WORKER_BACK : EventType.WORKER_OUT;
-            term.events().record(type, slot.id(), text.get());
+            reachable = isReachable;
+            EventType type = isReachable ? EventType.WORKER_BACK : EventType.WORKER_OUT;
+            term.events().record(type, worker.id(), details.get());
         }
     }
 
-    /** What a worker that is back shows beside what was known of it. */
-    private String account(HeartbeatReply answer)
+    /** Compares the state that a recovered worker reports with the tracked state. */
+    private String describeDifference(HeartbeatReply reply)
     {
-        String ends = answer.ended().isEmpty()
-                ? "no ends"
-                : "ends from " + answer.ended().getFirst().number();
+        String ends = reply.ended().isEmpty() ? "no ends" : "ends from " + reply.ended().getFirst().number();
         synchronized (term.cellState())
         {
-            return "it shows " + answer.running().size() + " runs and " + ends + " at " + answer.clockMillis()
-                    + " of its clock, " + slot.tasks().size() + " runs and ends up to " + recordingUpTo
-                    + " at " + slot.clockMillis() + " were known";
+            return "reported " + reply.running().size() + " runs and " + ends + " at " + reply.clockMillis()
+                    + " by its clock; tracked " + worker.tasks().size() + " runs and ends up to "
+                    + lastReadEnd + " at " + worker.clockMillis();
         }
     }
 
-    private String leaseLeft()
+    private String describeLease()
     {
         synchronized (term.cellState())
         {
-            long left = (slot.leaseEndNanos() - SteadyClock.nanos()) / NANOS_PER_MILLI;
-            return "the lease of its " + slot.tasks().size() + " runs is over in " + left + " ms";
+            long remainingMillis = (worker.leaseEndNanos() - SteadyClock.nanos()) / NANOS_PER_MILLI;
+            return "the lease of its " + worker.tasks().size() + " runs expires in " + remainingMillis
+                    + " ms";
         }
     }
 
-    private void noteMiss(boolean broken)
+    private void recordMiss(boolean connectionBroken)
     {
         synchronized (term.cellState())
         {
-            slot.recordMissedHeartbeat(SteadyClock.nanos(), broken);
+            worker.recordMissedHeartbeat(SteadyClock.nanos(), connectionBroken);
         }
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerSessions.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerSessions.java
@@ -17,43 +17,46 @@
 import org.gaugehollow.worker.WorkerEntry;
 
 /**
- * The workers that the store lists, and the owner's sessions with their lives. A worker that starts
- * again under its id gets a new session, since its numbers of ends and its clock begin anew: read
- * on in the session of the life before, ends of tasks would be passed over. Entries may come from
- * another writer: one that describes no worker, or one of a service that the configuration does not
- * name, opens no session. A worker whose entry turns bad keeps its session, so that its runs are
- * looked after, and gets nothing new.
+ * Tracks the workers that the store lists and keeps the owner's sessions with their incarnations.
+ * <p>
+ * A worker that restarts under its id gets a new session, because its clock and its numbers of run
+ * ends restart too; in the old session its run ends would be skipped.
+ * <p>
+ * Entries may come from other writers. An entry that is invalid, or whose service is not
+ * configured, opens no session. A worker whose entry becomes invalid keeps its session, so that its
+ * runs are still managed, but gets no new starts.
  */
 final class WorkerSessions implements KeyFollower.Listener, AutoCloseable
 {
-    /** Refused entries that are logged in a term at most; a writer may go on for ever. */
-    private static final int MOST_REFUSALS = 200;
+    /** Limits the log volume of a term; a faulty writer may continue indefinitely. */
+    private static final int MAX_LOGGED_REFUSALS = 200;
 
     private final OwnerTerm term;
     private final CellPlatform platform;
     private final Supervisor supervisor;
     private final Supplier<CellConfig> config;
     private final Map<String, WorkerSession> sessions = new ConcurrentHashMap<>();
-    /** By worker, what was read last; listings come more often than entries change. */
-    private final Map<String, Reading> readings = new ConcurrentHashMap<>();
-    private int refusals;
+    /** Newest entry by worker id; listings are more frequent than changes of entries. */
+    private final Map<String, ReadEntry> readEntries = new ConcurrentHashMap<>();
+    private int refusalCount;
 
     /**
      * An entry that was read.
      *
-     * @param revision its revision
-     * @param life the life that it names, or the one named before if it is refused; null for none
-     * @param refused whether it named no worker to use
+     * @param revision the revision of the entry
+     * @param incarnation the incarnation that the entry names, or the previous one if the entry was
+     *            refused; null if there is none
+     * @param refused whether the entry was refused
      */
-    private record Reading(long revision, String life, boolean refused)
+    private record ReadEntry(long revision, String incarnation, boolean refused)
     {
     }
 
     /**
-     * @param term the term, which has the ledger
+     * @param term the term, which holds the cell state
      * @param platform reads entries and opens connections to workers
      * @param supervisor parent of the sessions
-     * @param config the newest configuration
+     * @param config supplies the newest configuration
      */
     WorkerSessions(OwnerTerm term, CellPlatform platform, Supervisor supervisor, Supplier<CellConfig> config)
     {
@@ -63,140 +66,148 @@
         this.config = config;
     }
 
-    /** The session with a life of a worker, if there is one. */
-    Optional<WorkerSession> session(String life)
+    /** Returns the session with a worker incarnation. */
+    Optional<WorkerSession> session(String incarnation)
     {
-        return Optional.ofNullable(sessions.get(life));
+        return Optional.ofNullable(sessions.get(incarnation));
     }
 
     @Override
     public void onPut(String key, byte[] value, long revision)
     {
-        String worker = platform.workerId(key);
-        if (isReadAlready(worker, revision))
+        String workerId = platform.workerId(key);
+        if (isAlreadyRead(workerId, revision))
         {
             return;
         }
         try
         {
             WorkerEntry entry = platform.readWorker(key, value);
-            if (list(entry))
+            if (track(entry))
             {
-                String life = entry.incarnation().text();
-                Reading before = readings.put(worker, new Reading(revision, life, false));
-                unlistIfReplaced(before, life);
+                String incarnation = entry.incarnation().text();
+                ReadEntry previous = readEntries.put(workerId, new ReadEntry(revision, incarnation, false));
+                unlistIfReplaced(previous, incarnation);
             }
         }
         catch (GaugehollowException e)
         {
-            Reading before = readings.get(worker);
-            String life = before == null ? null : before.life();
-            readings.put(worker, new Reading(revision, life, true));
-            refuse(worker, life, e.getMessage());
+            ReadEntry previous = readEntries.get(workerId);
+            String incarnation = previous == null ? null : previous.incarnation();
+            readEntries.put(workerId, new ReadEntry(revision, incarnation, true));
+            recordRefusal(workerId, incarnation, e.getMessage());
         }
     }
 
-    private void unlistIfReplaced(Reading before, String life)
+    private void unlistIfReplaced(ReadEntry previous, String incarnation)
     {
-        if (before != null && before.life() != null && !before.life().equals(life))
+        if (previous != null && previous.incarnation() != null && !previous.incarnation().equals(incarnation))
         {
-            unlist(before.life());
+            unlist(previous.incarnation());
         }
     }
 
-    /** A session may have ended since its worker's entry was read. */
-    private boolean isReadAlready(String worker, long revision)
+    /**
+     * Returns whether this revision was read and needs no further action. An accepted entry is read
+     * again if its session has ended.
+     */
+    private boolean isAlreadyRead(String workerId, long revision)
     {
-        Reading reading = readings.get(worker);
-        return reading != null && reading.revision() == revision
-                && (reading.refused() || sessions.containsKey(reading.life()));
+        ReadEntry entry = readEntries.get(workerId);
+        return entry != null && entry.revision() == revision
+                && (entry.refused() || sessions.containsKey(entry.incarnation()));
     }
 
     /**
-     * Whether the entry was taken; one of an unknown service may be taken with a later configuration.
+     * Tracks the worker of an entry and opens a session if there is none.
+     *
+     * @return whether the entry was accepted; one of an unknown service may be accepted with a later
+     *         configuration
      */
-    private boolean list(WorkerEntry entry)
+    private boolean track(WorkerEntry entry)
     {
-        TrackedWorker slot;
-        String life = entry.incarnation().text();
+        TrackedWorker trackedWorker;
+        String incarnation = entry.incarnation().text();
         synchronized (term.cellState())
         {
-            boolean isKnown = term.cellState().worker(life).isPresent();
+            boolean isKnown = term.cellState().worker(incarnation).isPresent();
             if (!isKnown && !config.get().mayHaveService(entry.service()))
             {
                 return false;
             }
-            slot = term.cellState().list(entry);
+            trackedWorker = term.cellState().list(entry);
         }
-        if (!sessions.containsKey(life))
+        if (!sessions.containsKey(incarnation))
         {
-            WorkerSession session = new WorkerSession(term, slot,
+            WorkerSession session = new WorkerSession(term, trackedWorker,
                     platform.openWorker(entry, term.lease()::maySendCommands));
-            sessions.put(life, session);
-            supervisor.start("worker-" + life, session);
+            sessions.put(incarnation, session);
+            supervisor.start("worker-" + incarnation, session);
         }
         term.wake();
         return true;
     }
 
-    private void refuse(String worker, String life, String why)
+    private void recordRefusal(String workerId, String incarnation, String reason)
     {
-        if (life != null)
+        if (incarnation != null)
         {
             synchronized (term.cellState())
             {
-                term.cellState().worker(life).ifPresent(TrackedWorker::unlisted);
+                term.cellState().worker(incarnation).ifPresent(TrackedWorker::unlisted);
             }
         }
-        refusals++;
-        if (refusals <= MOST_REFUSALS)
+        refusalCount++;
+        if (refusalCount <= MAX_LOGGED_REFUSALS)
         {
-            term.events().record(EventType.WORKER_ENTRY_REFUSED, worker,
-                    why + (refusals == MOST_REFUSALS ? "; further ones are not logged" : ""));
+            term.events().record(EventType.WORKER_ENTRY_REFUSED, workerId,
+                    reason + (refusalCount == MAX_LOGGED_REFUSALS
+                            ? "; further refused entries are not logged"
+                            : ""));
         }
     }
 
     @Override
     public void onRemoved(String key, long revision)
     {
-        Reading reading = readings.remove(platform.workerId(key));
-        if (reading != null && reading.life() != null)
+        ReadEntry entry = readEntries.remove(platform.workerId(key));
+        if (entry != null && entry.incarnation() != null)
         {
-            unlist(reading.life());
+            unlist(entry.incarnation());
         }
     }
 
-    /** The list names a life no more; its session goes on while it holds something. */
-    private void unlist(String life)
+    /** Handles an incarnation that is no longer listed. Its session continues while it has tasks. */
+    private void unlist(String incarnation)
     {
-        TrackedWorker slot;
-        boolean idle;
+        TrackedWorker trackedWorker;
+        boolean isIdle;
         synchronized (term.cellState())
         {
-            slot = term.cellState().worker(life).orElse(null);
-            idle = slot != null && slot.isIdle();
-            if (slot != null)
+            trackedWorker = term.cellState().worker(incarnation).orElse(null);
+            isIdle = trackedWorker != null && trackedWorker.isIdle();
+            if (trackedWorker != null)
             {
-                slot.unlisted();
+                trackedWorker.unlisted();
             }
         }
-        if (idle)
+        if (isIdle)
         {
-            forget(slot);
+            forget(trackedWorker);
         }
     }
 
     /**
-     * A life is over. While the list still names it, its session is kept, so that the entry opens no
-     * other.
+     * Handles the end of an incarnation. Its session is kept while the incarnation is listed, so that
+     * the entry does not open another one.
      */
-    void over(TrackedWorker slot)
+    void over(TrackedWorker trackedWorker)
     {
-        Reading reading = readings.get(slot.worker());
-        boolean isListed = reading != null && slot.id().equals(reading.life());
+        ReadEntry entry = readEntries.get(trackedWorker.workerId());
+        boolean isListed = entry != null && trackedWorker.id().equals(entry.incarnation());
         if (!isListed)
         {
-            forget(slot);
+            forget(trackedWorker);
         }
     }
 
@@ -207,15 +218,16 @@
     }
 
     /**
-     * Ends the session with a worker that holds nothing; an entry that is still listed opens another.
+     * Closes the session with a worker that has no tasks. An entry that is still listed opens another
+     * one.
      */
-    void forget(TrackedWorker slot)
+    void forget(TrackedWorker trackedWorker)
     {
         synchronized (term.cellState())
         {
-            term.cellState().slots().unlist(slot);
+            term.cellState().slots().unlist(trackedWorker);
         }
-        WorkerSession session = sessions.remove(slot.id());
+        WorkerSession session = sessions.remove(trackedWorker.id());
         if (session != null)
         {
             session.close();
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/AdviceCacheTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/AdviceCacheTest.java
@@ -25,97 +25,89 @@
 import org.gaugehollow.worker.WorkerIncarnation;
 import org.junit.jupiter.api.Test;
 
-/** What an owner asks the advice service, and when it stops asking. */
+/** Tests the requests of the advice cache and the validity of cached advice. */
 class AdviceCacheTest
 {
-    private static final long RETRIES_MILLIS = 1_500;
+    private static final long RETRY_PERIOD_MILLIS = 1_500;
 
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
-    private final CellState ledger = new CellState(SteadyClock::nanos, TimeUnit.SECONDS.toNanos(15));
+    private final CellState cellState = new CellState(SteadyClock::nanos, TimeUnit.SECONDS.toNanos(15));
 
-    /**
-     * Owners of terms long over went on asking for the steps of their day, for up to 18 s, since
-     * nothing changed any more in what they knew. The advice service answers a box's calls in turn, so
-     * the owner's own calls got no answer in time, and a sixth of the jobs never began.
-     */
+    /** Guards against requests of ended terms, which delay those of the current owner. */
     @Test
-    void nothingIsAskedAnyMoreOnceTheTermIsOver() throws InterruptedException
+    void sendsNoRequestsAfterTheTermEnds() throws InterruptedException
     {
         AtomicInteger calls = new AtomicInteger();
-        CountDownLatch termIsOver = new CountDownLatch(1);
-        AdviceDispatcher lines = new AdviceDispatcher((step, workers, timeout) ->
+        CountDownLatch termEnded = new CountDownLatch(1);
+        AdviceDispatcher dispatcher = new AdviceDispatcher((step, workers, timeout) ->
         {
             calls.incrementAndGet();
-            termIsOver.await();
+            termEnded.await();
             throw new GaugehollowException(ResultCode.UPSTREAM_TIMEOUT, "no answer in time");
         }, events);
-        AdviceCache desk = new AdviceCache(ledger, lines, () ->
+        AdviceCache cache = new AdviceCache(cellState, dispatcher, () ->
         {
         });
-        synchronized (ledger)
+        synchronized (cellState)
         {
-            ledger.list(TestJobs.worker("w1", 16_000)).setLeaseHeld(true);
+            cellState.list(TestJobs.worker("w1", 16_000)).setLeaseHeld(true);
             JobSpec spec = new JobSpec("text", List.of(TestJobs.step(1, 1_000, List.of())), 0, 0, 0);
-            ledger.accept(new JobRecord(TestJobs.ID, TestJobs.ADVISED_QUEUE, spec, 0), 1, null, 0);
-            desk.request(ledger.find(TestJobs.ID + ".0.0.0").step());
+            cellState.accept(new JobRecord(TestJobs.ID, TestJobs.ADVISED_QUEUE, spec, 0), 1, null, 0);
+            cache.request(cellState.find(TestJobs.ID + ".0.0.0").step());
         }
         assertThat(TestJobs.within(2_000, () -> calls.get() == 1)).isTrue();
-        desk.close();
-        termIsOver.countDown();
-        assertThat(TestJobs.within(RETRIES_MILLIS, () -> calls.get() > 1)).isFalse();
+        cache.close();
+        termEnded.countDown();
+        assertThat(TestJobs.within(RETRY_PERIOD_MILLIS, () -> calls.get() > 1)).isFalse();
     }
 
-    private static WorkerEntry entryOf(long born)
+    private static WorkerEntry entryOf(long startTime)
     {
-        return TestJobs.worker(new WorkerIncarnation("w1", born), 16_000);
+        return TestJobs.worker(new WorkerIncarnation("w1", startTime), 16_000);
     }
 
-    /**
-     * A worker that had started again under its id was never asked about again for a step, since the
-     * life before had been named unfit; where that one had been fit, starts brought its ticket and were
-     * refused: {@code E514 TASK_STARTED 2d7393dad46d4fd6.0.0.3 run 2 on i-7f1bfc929a: BAD_TICKET}.
-     */
+    /** Guards against applying the advice for a worker to a later incarnation with the same id. */
     @Test
-    void adviceOfOneLifeOfAWorkerSaysNothingOfTheNext() throws InterruptedException
+    void adviceDoesNotApplyToTheNextIncarnation() throws InterruptedException
     {
-        List<List<String>> asked = new CopyOnWriteArrayList<>();
+        List<List<String>> askedWorkers = new CopyOnWriteArrayList<>();
         AtomicReference<List<Advice.Ticket>> tickets = new AtomicReference<>(List.of());
-        AdviceDispatcher lines = new AdviceDispatcher((step, workers, timeout) ->
+        AdviceDispatcher dispatcher = new AdviceDispatcher((step, workers, timeout) ->
         {
-            asked.add(workers);
+            askedWorkers.add(workers);
             return new Advice(tickets.get(), 500);
         }, events);
-        AtomicInteger answers = new AtomicInteger();
-        AdviceCache desk = new AdviceCache(ledger, lines, answers::incrementAndGet);
+        AtomicInteger replies = new AtomicInteger();
+        AdviceCache cache = new AdviceCache(cellState, dispatcher, replies::incrementAndGet);
         Step step;
         TrackedWorker first;
-        synchronized (ledger)
+        synchronized (cellState)
         {
-            first = ledger.list(entryOf(1));
+            first = cellState.list(entryOf(1));
             first.setLeaseHeld(true);
             JobSpec spec = new JobSpec("text", List.of(TestJobs.step(1, 1_000, List.of())), 0, 0, 0);
-            ledger.accept(new JobRecord(TestJobs.ID, TestJobs.ADVISED_QUEUE, spec, 0), 1, null, 0);
-            step = ledger.find(TestJobs.ID + ".0.0.0").step();
-            desk.request(step);
+            cellState.accept(new JobRecord(TestJobs.ID, TestJobs.ADVISED_QUEUE, spec, 0), 1, null, 0);
+            step = cellState.find(TestJobs.ID + ".0.0.0").step();
+            cache.request(step);
         }
-        assertThat(TestJobs.within(2_000, () -> answers.get() == 1)).isTrue();
+        assertThat(TestJobs.within(2_000, () -> replies.get() == 1)).isTrue();
         tickets.set(List.of(new Advice.Ticket("w1", "ticket")));
         TrackedWorker second;
-        synchronized (ledger)
+        synchronized (cellState)
         {
-            assertThat(desk.isDenied(step, first)).isTrue();
+            assertThat(cache.isDenied(step, first)).isTrue();
             first.unlisted();
-            second = ledger.list(entryOf(2));
+            second = cellState.list(entryOf(2));
             second.setLeaseHeld(true);
-            assertThat(desk.isDenied(step, second)).isFalse();
-            desk.request(step);
+            assertThat(cache.isDenied(step, second)).isFalse();
+            cache.request(step);
         }
-        assertThat(TestJobs.within(2_000, () -> answers.get() == 2)).isTrue();
-        assertThat(asked).isEqualTo(List.of(List.of("w1"), List.of("w1")));
-        synchronized (ledger)
+        assertThat(TestJobs.within(2_000, () -> replies.get() == 2)).isTrue();
+        assertThat(askedWorkers).isEqualTo(List.of(List.of("w1"), List.of("w1")));
+        synchronized (cellState)
         {
-            assertThat(desk.ticket(step, second)).hasValue("ticket");
-            assertThat(desk.ticket(step, first)).isEmpty();
+            assertThat(cache.ticket(step, second)).hasValue("ticket");
+            assertThat(cache.ticket(step, first)).isEmpty();
         }
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/CancelledRunsTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/CancelledRunsTest.java
@@ -26,22 +26,22 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * Runs of cancelled jobs are ended however they came about: started late, started by a box that is
- * gone, or not known to the owner at all.
+ * Guards against runs of cancelled jobs that continue after a late start, a change of owner or as
+ * orphan runs.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class CancelledRunsTest
 {
     private static final String TASK = TestJobs.ID + ".0.0.0";
-    private static final StepSpec ONE = TestJobs.step(1, 1_000, List.of());
-    private static final long SOON_MILLIS = 6_000;
-    /** Long enough for a lease on a worker, the margin after it and the slowest clock. */
-    private static final long LAPSED_MILLIS = 9_000;
-    /** So often is a start sent that gets no answer. */
-    private static final int START_TRIES = 3;
-    /** By then an answer is taken. */
-    private static final long ANSWER_MILLIS = 300;
-    /** By then a run that a worker started late has to be gone. */
+    private static final StepSpec SINGLE_TASK = TestJobs.step(1, 1_000, List.of());
+    private static final long TIMEOUT_MILLIS = 6_000;
+    /** Covers the lease of a worker, its margin and the slowest clock. */
+    private static final long LEASE_EXPIRY_MILLIS = 9_000;
+    /** Number of attempts to send an unanswered start. */
+    private static final int START_ATTEMPTS = 3;
+    /** Time allowed for a reply to be handled. */
+    private static final long REPLY_MILLIS = 300;
+    /** Time allowed for stopping a run that was started late. */
     private static final long LATE_START_MILLIS = 3_200;
 
     private final FakePlatform platform = new FakePlatform();
@@ -56,26 +56,26 @@
         }
     }
 
-    private void begin(String box) throws InterruptedException
+    private void startTerm(String box) throws InterruptedException
     {
         term = new TestTerm(platform, box);
     }
 
-    /** The owner's box is gone for good, and another one owns the cell. */
+    /** Ends the term and starts one of another box. */
     private void replaceOwner() throws InterruptedException
     {
         term.close();
-        begin("successor");
+        startTerm("successor");
     }
 
     private void accept() throws InterruptedException
     {
-        platform.accept(TestJobs.job(TestJobs.ID, ONE));
+        platform.accept(TestJobs.job(TestJobs.ID, SINGLE_TASK));
     }
 
-    private void acceptAsOver() throws InterruptedException
+    private void acceptAsTombstone() throws InterruptedException
     {
-        platform.accept(TestJobs.job(TestJobs.ID, ONE).toTombstone());
+        platform.accept(TestJobs.job(TestJobs.ID, SINGLE_TASK).toTombstone());
     }
 
     private void cancel() throws InterruptedException
@@ -83,7 +83,7 @@
         platform.store().commit(new StoreTransaction().put(JobKeys.cancel(TestJobs.ID), new byte[]{'1'}));
     }
 
-    /** What an earlier owner knew last of the task; no worker if it had no run at work. */
+    /** Stores the progress of an earlier owner; the worker is null if the task has no run. */
     private void recordRunningOn(String worker, int run) throws InterruptedException
     {
         TaskProgress task = new TaskProgress(run, 0, false, worker, null);
@@ -97,87 +97,87 @@
                 new StoreTransaction().put(JobKeys.progress(TestJobs.ID), JobCodec.writeProgress(progress)));
     }
 
-    private boolean isShownAsCancelled()
+    private boolean isRecordedAsCancelled()
     {
         return platform.fakeStore().get(JobKeys.progress(TestJobs.ID)).map(StoredValue::value)
                 .map(JobCodec::readProgress).map(JobProgress::state)
                 .filter(state -> state == JobState.CANCELLED).isPresent();
     }
 
-    private static void awaitBegun(FakeWorker worker, int run) throws InterruptedException
+    private static void awaitStarted(FakeWorker worker, int run) throws InterruptedException
     {
-        boolean begun = TestJobs.within(SOON_MILLIS, () -> worker.begun().contains(TASK + '/' + run));
-        assertWithMessage("begun " + worker.begun()).that(begun).isTrue();
+        boolean isStarted = TestJobs.within(TIMEOUT_MILLIS, () -> worker.begun().contains(TASK + '/' + run));
+        assertWithMessage("started runs " + worker.begun()).that(isStarted).isTrue();
     }
 
-    /** Returns once the worker has just been sent another look. */
-    private static void awaitNextLook(FakeWorker worker) throws InterruptedException
+    /** Waits until the next heartbeat is sent to the worker. */
+    private static void awaitNextHeartbeat(FakeWorker worker) throws InterruptedException
     {
-        int looks = worker.looks();
-        assertThat(TestJobs.within(SOON_MILLIS, () -> worker.looks() > looks)).isTrue();
+        int heartbeats = worker.looks();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.looks() > heartbeats)).isTrue();
     }
 
-    private void assertEnds(FakeWorker worker, long millis) throws InterruptedException
+    private void assertRunEnds(FakeWorker worker, long millis) throws InterruptedException
     {
         assertThat(TestJobs.within(millis, () -> !worker.isRunning(TASK))).isTrue();
     }
 
-    /** The job is cancelled while its start has no answer; the stop arrives before the start. */
+    /** The job is cancelled while its start is unanswered, and the stop arrives before the start. */
     @Test
-    void aLateStartThatItsStopOvertookIsRejected() throws InterruptedException
+    void rejectsLateStartAfterItsStop() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        begin("box");
+        startTerm("box");
         worker.loseStarts(100);
         accept();
-        assertThat(TestJobs.within(SOON_MILLIS, () -> worker.startsAsked() > 0)).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.startsAsked() > 0)).isTrue();
         cancel();
-        assertThat(TestJobs.within(SOON_MILLIS, this::isShownAsCancelled)).isTrue();
-        assertThat(TestJobs.within(SOON_MILLIS, () -> worker.stopped().contains(TASK))).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.stopped().contains(TASK))).isTrue();
         assertThat(worker.arriveLate()).isEqualTo(CommandResult.OLD_RUN);
         assertThat(worker.isRunning(TASK)).isFalse();
     }
 
-    /** No stop gets through until the late start has been carried out. */
+    /** All stops are lost until the late start has been executed. */
     @Test
-    void aLateStartThatOvertakesItsStopIsStopped() throws InterruptedException
+    void stopsLateStartThatPrecedesItsStop() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        begin("box");
+        startTerm("box");
         worker.loseStarts(100);
         worker.loseStops(10);
         accept();
-        assertThat(TestJobs.within(SOON_MILLIS, () -> worker.startsAsked() > 0)).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.startsAsked() > 0)).isTrue();
         cancel();
-        assertThat(TestJobs.within(SOON_MILLIS, this::isShownAsCancelled)).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
         assertThat(worker.arriveLate()).isEqualTo(CommandResult.DONE);
-        assertEnds(worker, LATE_START_MILLIS);
+        assertRunEnds(worker, LATE_START_MILLIS);
     }
 
     /**
-     * The worker answers nothing until its lease is over, so the task counts as gone and its cancelled
-     * job is dropped. The start arrives after that all the same.
+     * The start arrives after the lease of the worker has expired and the cancelled job has been
+     * evicted.
      */
     @Test
-    void aLateStartOfAJobThatWasDroppedIsStopped() throws InterruptedException
+    void stopsLateStartOfEvictedJob() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        begin("box");
-        awaitNextLook(worker);
+        startTerm("box");
+        awaitNextHeartbeat(worker);
         worker.loseStarts(100);
         worker.loseStops(Integer.MAX_VALUE);
         accept();
-        assertThat(TestJobs.within(SOON_MILLIS, () -> worker.startsAsked() > 0)).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.startsAsked() > 0)).isTrue();
         worker.setSilent(true);
         cancel();
-        assertThat(TestJobs.within(LAPSED_MILLIS, () -> !knowsJobAtWork())).isTrue();
+        assertThat(TestJobs.within(LEASE_EXPIRY_MILLIS, () -> !isTaskTracked())).isTrue();
         worker.setSilent(false);
         worker.loseStops(0);
         assertThat(worker.arriveLate()).isEqualTo(CommandResult.DONE);
-        assertEnds(worker, LATE_START_MILLIS);
+        assertRunEnds(worker, LATE_START_MILLIS);
     }
 
-    private boolean knowsJobAtWork()
+    private boolean isTaskTracked()
     {
         synchronized (term.term().cellState())
         {
@@ -185,36 +185,33 @@
         }
     }
 
-    /**
-     * A worker starts a run of a cancelled job that its owner does not know, just after an idle worker
-     * was sent a look, which waits for long. The first stops get lost on the way.
-     */
+    /** The run starts during the long heartbeat of an idle worker, and the first stops are lost. */
     @Test
-    void anUnknownRunIsStoppedInTimeThoughTheFirstStopsAreLost() throws InterruptedException
+    void stopsOrphanRunDespiteLostStops() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        acceptAsOver();
-        begin("box");
-        awaitNextLook(worker);
-        awaitNextLook(worker);
+        acceptAsTombstone();
+        startTerm("box");
+        awaitNextHeartbeat(worker);
+        awaitNextHeartbeat(worker);
         worker.loseStops(3);
         worker.runs(TASK, 1);
-        assertEnds(worker, LATE_START_MILLIS);
+        assertRunEnds(worker, LATE_START_MILLIS);
     }
 
-    /** The worker was not listed when the late start arrived; its session was over. */
+    /** The run starts while the worker is not listed and has no session. */
     @Test
-    void aRunOnAWorkerThatIsListedAgainIsStopped() throws InterruptedException
+    void stopsRunOnRelistedWorker() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        acceptAsOver();
-        begin("box");
-        awaitNextLook(worker);
+        acceptAsTombstone();
+        startTerm("box");
+        awaitNextHeartbeat(worker);
         platform.unlist("w1");
-        assertThat(TestJobs.within(SOON_MILLIS, () -> !isListed("w1"))).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> !isListed("w1"))).isTrue();
         worker.runs(TASK, 1);
         platform.list("w1");
-        assertEnds(worker, LATE_START_MILLIS);
+        assertRunEnds(worker, LATE_START_MILLIS);
     }
 
     private boolean isListed(String worker)
@@ -225,149 +222,147 @@
         }
     }
 
-    /** The box that started the run is gone when the job is cancelled. */
+    /** The job is cancelled after its owner was replaced. */
     @Test
-    void aRunOfABoxThatIsGoneIsStoppedOnceItsJobIsCancelled() throws InterruptedException
+    void stopsRunOfPreviousOwnerWhenJobIsCancelled() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        begin("box");
+        startTerm("box");
         accept();
-        awaitBegun(worker, 1);
+        awaitStarted(worker, 1);
         replaceOwner();
         cancel();
-        assertEnds(worker, LATE_START_MILLIS);
-        assertThat(TestJobs.within(SOON_MILLIS, this::isShownAsCancelled)).isTrue();
+        assertRunEnds(worker, LATE_START_MILLIS);
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
     }
 
-    /** The job is cancelled while no box owns the cell. */
+    /** The job is cancelled while the cell has no owner. */
     @Test
-    void aRunWhoseJobIsCancelledBetweenTwoOwnersIsStopped() throws InterruptedException
+    void stopsRunOfJobCancelledBetweenTwoOwners() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        begin("box");
+        startTerm("box");
         accept();
-        awaitBegun(worker, 1);
+        awaitStarted(worker, 1);
         term.close();
         cancel();
-        begin("successor");
-        assertEnds(worker, LATE_START_MILLIS);
-        assertThat(TestJobs.within(SOON_MILLIS, this::isShownAsCancelled)).isTrue();
+        startTerm("successor");
+        assertRunEnds(worker, LATE_START_MILLIS);
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
     }
 
-    /** The box wrote that the job is cancelled and was gone before it sent the stop. */
+    /** The previous owner recorded the cancellation but ended before it sent the stop. */
     @Test
-    void aRunOfAJobThatIsRecordedAsOverIsStoppedByTheNextOwner() throws InterruptedException
+    void nextOwnerStopsRunOfTombstonedJob() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        acceptAsOver();
+        acceptAsTombstone();
         cancel();
         record(new JobProgress(TestJobs.QUEUE.name(), JobState.CANCELLED, null));
         worker.runs(TASK, 1);
-        begin("successor");
-        assertEnds(worker, LATE_START_MILLIS);
+        startTerm("successor");
+        assertRunEnds(worker, LATE_START_MILLIS);
     }
 
-    /** The worker is listed only some time after the next owner began, with a run from before. */
+    /** The worker of a recorded run is listed some time after the next owner began. */
     @Test
-    void aRecordedRunOnAWorkerThatIsListedLaterIsStopped() throws InterruptedException
+    void stopsRecordedRunOnWorkerListedLater() throws InterruptedException
     {
         accept();
         recordRunningOn("w1", 1);
         cancel();
-        begin("successor");
-        assertThat(TestJobs.within(SOON_MILLIS, this::isShownAsCancelled)).isTrue();
+        startTerm("successor");
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
         FakeWorker worker = platform.addWorker("w1");
         worker.runs(TASK, 1);
-        assertEnds(worker, LATE_START_MILLIS);
+        assertRunEnds(worker, LATE_START_MILLIS);
     }
 
-    /** A start that the gone box sent arrives after its successor has looked at the worker. */
+    /** A start of the previous owner arrives after its successor has sent a heartbeat. */
     @Test
-    void aLateStartOfABoxThatIsGoneIsRejected() throws InterruptedException
+    void rejectsLateStartOfPreviousOwner() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        begin("box");
+        startTerm("box");
         worker.loseStarts(100);
         worker.loseStops(Integer.MAX_VALUE);
         accept();
-        assertThat(TestJobs.within(SOON_MILLIS, () -> worker.startsAsked() >= START_TRIES)).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.startsAsked() >= START_ATTEMPTS)).isTrue();
         worker.loseStarts(0);
         replaceOwner();
-        awaitBegun(worker, 2);
+        awaitStarted(worker, 2);
         worker.loseStops(0);
         cancel();
         assertThat(worker.arriveLate()).isEqualTo(CommandResult.FENCED);
-        assertEnds(worker, LATE_START_MILLIS);
+        assertRunEnds(worker, LATE_START_MILLIS);
     }
 
     /**
-     * A stop of an earlier run of the task is still unanswered when the next run is started on the same
-     * worker and its job is cancelled. Only one stop of a task is sent at a time, so the second one
-     * waits. Then the start is answered, which used to count as an answer to that stop, so that it was
-     * never sent.
+     * Guards against taking the reply to a start for the reply to a stop. The stop of an earlier run is
+     * still unanswered, so the stop of the current run waits for it.
      */
     @Test
-    void aStartThatIsAnsweredAfterItsJobWasCancelledDoesNotSettleTheStop() throws InterruptedException
+    void startReplyAfterCancellationDoesNotSettleTheStop() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
         accept();
         recordRunningOn(null, 1);
         worker.runs(TASK, 1);
-        worker.holdStartAnswers(true);
-        worker.holdStopAnswers(true);
-        begin("box");
-        awaitBegun(worker, 2);
+        worker.delayStartReplies(true);
+        worker.delayStopReplies(true);
+        startTerm("box");
+        awaitStarted(worker, 2);
         cancel();
-        assertThat(TestJobs.within(SOON_MILLIS, this::isShownAsCancelled)).isTrue();
-        worker.holdStartAnswers(false);
-        Thread.sleep(ANSWER_MILLIS);
-        worker.holdStopAnswers(false);
-        assertEnds(worker, LATE_START_MILLIS);
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
+        worker.delayStartReplies(false);
+        Thread.sleep(REPLY_MILLIS);
+        worker.delayStopReplies(false);
+        assertRunEnds(worker, LATE_START_MILLIS);
     }
 
     /**
-     * The watch tells of neither the job nor its cancellation. A peer tells that it wrote the record;
-     * the owner used to read just the record then and started what was cancelled.
+     * Guards against starting a job without reading its cancellation when a peer reports the job and
+     * the watch delivers no events.
      */
     @Test
-    void aCancelledJobOfWhichAPeerTellsIsNotStarted() throws InterruptedException
+    void doesNotStartCancelledJobReportedByPeer() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        begin("box");
-        awaitNextLook(worker);
+        startTerm("box");
+        awaitNextHeartbeat(worker);
         platform.fakeStore().silenceWatches(true);
         accept();
         cancel();
         term.term().onJobWritten(TestJobs.ID);
-        assertThat(TestJobs.within(SOON_MILLIS, this::isShownAsCancelled)).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
         assertThat(worker.startsAsked()).isEqualTo(0);
     }
 
-    /** The write of the record was carried out late, after the cancellation. */
+    /** The record of the job is written after its cancellation. */
     @Test
-    void aJobWhoseRecordComesAfterItsCancellationIsNotStarted() throws InterruptedException
+    void doesNotStartJobWrittenAfterItsCancellation() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
         cancel();
-        begin("box");
-        awaitNextLook(worker);
+        startTerm("box");
+        awaitNextHeartbeat(worker);
         accept();
-        assertThat(TestJobs.within(SOON_MILLIS, this::isShownAsCancelled)).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
         assertThat(worker.startsAsked()).isEqualTo(0);
     }
 
-    /** The owner's watch hears nothing; the box that wrote the cancellation tells of it. */
+    /** The watch delivers no events, and a peer reports the cancellation. */
     @Test
-    void aCancellationOfWhichAPeerTellsStopsWhatRuns() throws InterruptedException
+    void cancellationReportedByPeerStopsTheRun() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        begin("box");
+        startTerm("box");
         accept();
-        assertThat(TestJobs.within(SOON_MILLIS, () -> worker.isRunning(TASK))).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.isRunning(TASK))).isTrue();
         platform.fakeStore().silenceWatches(true);
         cancel();
         term.term().onJobCancelled(TestJobs.ID);
-        assertThat(TestJobs.within(SOON_MILLIS, () -> !worker.isRunning(TASK))).isTrue();
-        assertThat(TestJobs.within(SOON_MILLIS, this::isShownAsCancelled)).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> !worker.isRunning(TASK))).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/CrashGuardLoadTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/CrashGuardLoadTest.java
@@ -15,25 +15,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Harmful tasks beside good ones: only the harmful ones are given up, and few machines crash until
- * then. Without it the same loads crashed 14, 98, 41, 129 and 21 machines in 40 s and went on; with
- * suspects given up but not tried apart, 19 good tasks of the stream were given up as well.
+ * Guards against failing good tasks, or losing too many machines, while poison tasks are detected.
  */
 class CrashGuardLoadTest
 {
     private static final int MACHINES = 8;
-    private static final int GOOD = 30;
+    private static final int GOOD_JOBS = 30;
     private static final int WAVE_SEEDS = 10;
     private static final int WAVE_MACHINES = 33;
-    private static final int WAVE_LASTING = 60;
+    private static final int WAVE_LONG_RUNNING_JOBS = 60;
     private static final int WAVES = 6;
-    private static final long WAVE_GAP_MILLIS = 12_000;
-    private static final long WAVE_JOB_MILLIS = 100;
-    private static final long LONG_ENOUGH_MILLIS = 40_000;
-    private static final StepSpec SMALL = TestJobs.step(1, 2_500, List.of());
-    private static final StepSpec LASTING = TestJobs.longRunning(1);
-    private static final StepSpec COPIED = new StepSpec(1, 2_500, 100, 0, 800, List.of(), false, false, false,
-            null, null, 0, true, false, null, 0, false, 0);
+    private static final long WAVE_INTERVAL_MILLIS = 12_000;
+    private static final long WAVE_JOB_INTERVAL_MILLIS = 100;
+    private static final long SETTLE_MILLIS = 40_000;
+    private static final StepSpec SHORT = TestJobs.step(1, 2_500, List.of());
+    private static final StepSpec LONG_RUNNING = TestJobs.longRunning(1);
+    private static final StepSpec SPECULATIVE = new StepSpec(1, 2_500, 100, 0, 800, List.of(), false, false,
+            false, null, null, 0, true, false, null, 0, false, 0);
 
     private SimulatedCell cell = new SimulatedCell(MACHINES, false);
     private int accepted;
@@ -52,144 +50,140 @@
         }
     }
 
-    private void assertOutcome(int harmful, int mostCrashes, long mostLostMillis, long mostMillis)
+    private void assertOutcome(int poison, int maxCrashes, long maxLostMillis, long maxMillis)
     {
-        assertThat(cell.goodGivenUp()).isEqualTo(0);
-        assertThat(cell.goodDone()).isEqualTo(accepted - harmful);
-        assertThat(cell.harmfulGivenUp()).isEqualTo(harmful);
-        assertWithMessage("crashes").that(cell.crashes()).isAtMost(mostCrashes);
-        assertWithMessage("lost work in ms").that(cell.lostMillis()).isAtMost(mostLostMillis);
-        assertWithMessage("known after ms").that(cell.lastGivenUpMillis()).isAtMost(mostMillis);
+        assertThat(cell.failedGoodJobs()).isEqualTo(0);
+        assertThat(cell.completedGoodJobs()).isEqualTo(accepted - poison);
+        assertThat(cell.failedPoisonJobs()).isEqualTo(poison);
+        assertWithMessage("crashes").that(cell.crashes()).isAtMost(maxCrashes);
+        assertWithMessage("lost run time in ms").that(cell.lostMillis()).isAtMost(maxLostMillis);
+        assertWithMessage("time of the last failure in ms").that(cell.lastFailureMillis())
+                .isAtMost(maxMillis);
     }
 
     @Test
-    void oneHarmfulTaskBesideGoodOnes()
+    void failsOnlyThePoisonTask()
     {
-        acceptGood(GOOD, SMALL);
-        cell.acceptHarmful(job(SMALL));
-        cell.run(LONG_ENOUGH_MILLIS);
+        acceptGood(GOOD_JOBS, SHORT);
+        cell.acceptPoison(job(SHORT));
+        cell.run(SETTLE_MILLIS);
         assertOutcome(1, 3, 3_000, 10_000);
     }
 
     @Test
-    void oneOfWhichCopiesMayRun()
+    void failsOnlyTheSpeculativePoisonTask()
     {
-        acceptGood(GOOD, COPIED);
-        cell.acceptHarmful(job(COPIED));
-        cell.run(LONG_ENOUGH_MILLIS);
+        acceptGood(GOOD_JOBS, SPECULATIVE);
+        cell.acceptPoison(job(SPECULATIVE));
+        cell.run(SETTLE_MILLIS);
         assertOutcome(1, 3, 3_000, 10_000);
     }
 
     @Test
-    void threeAtOnce()
+    void failsThreeConcurrentPoisonTasks()
     {
-        acceptGood(GOOD / 2, SMALL);
+        acceptGood(GOOD_JOBS / 2, SHORT);
         for (int i = 0; i < 3; i++)
         {
-            cell.acceptHarmful(job(SMALL));
+            cell.acceptPoison(job(SHORT));
         }
-        acceptGood(GOOD / 2, SMALL);
-        cell.run(LONG_ENOUGH_MILLIS);
+        acceptGood(GOOD_JOBS / 2, SHORT);
+        cell.run(SETTLE_MILLIS);
         assertOutcome(3, 9, 5_000, 15_000);
     }
 
-    /** Machines that just fall silent tell less of when they crashed. */
+    /** The time of a crash is less precise if no connection breaks. */
     @Test
-    void oneThatLeavesNoTraceOfItsCrash()
+    void failsPoisonTaskWhoseMachinesBecomeUnresponsive()
     {
         cell = new SimulatedCell(MACHINES, true);
-        acceptGood(GOOD, SMALL);
-        cell.acceptHarmful(job(SMALL));
-        cell.run(LONG_ENOUGH_MILLIS);
+        acceptGood(GOOD_JOBS, SHORT);
+        cell.acceptPoison(job(SHORT));
+        cell.run(SETTLE_MILLIS);
         assertOutcome(1, 3, 3_000, 10_000);
     }
 
-    /** A stream of 20 jobs a second for 12 s, every twentieth of which is harmful. */
+    /** Every twentieth job of the stream is poison. */
     @Test
-    void everyTwentiethOfAStream()
+    void failsPoisonTasksInAStreamOfJobs()
     {
         for (int i = 0; i < 240; i++)
         {
             if (i % 20 == 10)
             {
-                cell.acceptHarmful(job(SMALL));
+                cell.acceptPoison(job(SHORT));
             }
             else
             {
-                cell.accept(job(SMALL));
+                cell.accept(job(SHORT));
             }
             cell.run(50);
         }
-        cell.run(LONG_ENOUGH_MILLIS);
+        cell.run(SETTLE_MILLIS);
         assertOutcome(12, 36, 30_000, 30_000);
     }
 
-    /**
-     * Tasks that are long at work see one crash after another that is not theirs: in a cell of three
-     * workers with a harmful task each five seconds, two of four such tasks were given up.
-     */
+    /** Guards against failing long-running tasks for the crashes of tasks that start beside them. */
     @Test
-    void tasksAtWorkAreNotBlamedForWhatBeginsBesideThem()
+    void keepsLongRunningTasksBesidePoisonTasks()
     {
         cell = new SimulatedCell(3, false);
         for (int i = 0; i < 4; i++)
         {
-            cell.accept(job(LASTING));
+            cell.accept(job(LONG_RUNNING));
         }
         for (int i = 0; i < 20; i++)
         {
             cell.run(5_000);
-            cell.acceptHarmful(job(SMALL));
+            cell.acceptPoison(job(SHORT));
         }
-        cell.run(LONG_ENOUGH_MILLIS);
-        assertThat(cell.goodGivenUp()).isEqualTo(0);
-        assertThat(cell.harmfulGivenUp()).isEqualTo(20);
-        assertThat(cell.atWorkFor(CrashGuard.CLEARED_MILLIS)).isEqualTo(4);
+        cell.run(SETTLE_MILLIS);
+        assertThat(cell.failedGoodJobs()).isEqualTo(0);
+        assertThat(cell.failedPoisonJobs()).isEqualTo(20);
+        assertThat(cell.runningFor(CrashGuard.CLEAR_AFTER_MILLIS)).isEqualTo(4);
     }
 
-    /** Half of the machines crash by themselves, twice, while a harmful task goes round. */
+    /** Both halves of the machines crash for other reasons while a poison task is retried. */
     @Test
-    void machinesThatCrashByThemselvesAtTheSameTime()
+    void failsPoisonTaskDuringUnrelatedCrashes()
     {
-        acceptGood(GOOD, SMALL);
-        cell.acceptHarmful(job(SMALL));
+        acceptGood(GOOD_JOBS, SHORT);
+        cell.acceptPoison(job(SHORT));
         cell.run(300);
         cell.crash(0, MACHINES / 2);
         cell.run(3_500);
         cell.crash(MACHINES / 2, MACHINES / 2);
-        cell.run(LONG_ENOUGH_MILLIS);
+        cell.run(SETTLE_MILLIS);
         assertOutcome(1, 3 + MACHINES, 30_000, 20_000);
     }
 
-    /**
-     * A third of the machines crash together, again and again, and nothing in their work is to blame.
-     */
+    /** A third of the machines crash together repeatedly, without any poison task. */
     @Test
-    void machinesThatCrashInWaves()
+    void failsNothingAfterCorrelatedCrashes()
     {
-        long givenUp = 0;
+        long failed = 0;
         for (int seed = 0; seed < WAVE_SEEDS; seed++)
         {
-            givenUp += playWaves(new SplittableRandom(seed));
+            failed += runWaves(new SplittableRandom(seed));
         }
-        assertWithMessage("good tasks given up in " + WAVE_SEEDS + " plays").that(givenUp).isEqualTo(0);
+        assertWithMessage("good tasks failed in " + WAVE_SEEDS + " simulations").that(failed).isEqualTo(0);
     }
 
-    private long playWaves(SplittableRandom random)
+    private long runWaves(SplittableRandom random)
     {
         cell = new SimulatedCell(WAVE_MACHINES, false);
-        acceptGood(WAVE_LASTING, LASTING);
+        acceptGood(WAVE_LONG_RUNNING_JOBS, LONG_RUNNING);
         for (int wave = 0; wave < WAVES; wave++)
         {
-            for (int i = 0; i < WAVE_GAP_MILLIS / WAVE_JOB_MILLIS; i++)
+            for (int i = 0; i < WAVE_INTERVAL_MILLIS / WAVE_JOB_INTERVAL_MILLIS; i++)
             {
-                acceptGood(1, SMALL);
-                cell.run(WAVE_JOB_MILLIS);
+                acceptGood(1, SHORT);
+                cell.run(WAVE_JOB_INTERVAL_MILLIS);
             }
             random.ints(0, WAVE_MACHINES).distinct().limit(WAVE_MACHINES / 3)
                     .forEach(machine -> cell.crash(machine, 1));
         }
-        cell.run(LONG_ENOUGH_MILLIS);
-        return cell.goodGivenUp();
+        cell.run(SETTLE_MILLIS);
+        return cell.failedGoodJobs();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/CrashGuardTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/CrashGuardTest.java
@@ -21,25 +21,25 @@
 import org.gaugehollow.worker.WorkerIncarnation;
 import org.junit.jupiter.api.Test;
 
-/** What counts towards giving a task up, and what does not. */
+/** Tests which worker crashes confirm a poison task. */
 class CrashGuardTest
 {
     private static final int WORKER_CPU = 16_000;
     private static final String TASK = TestJobs.ID + ".0.0.0";
 
     private final AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(1_000));
-    private CellState ledger = newLedger();
+    private CellState cellState = newCellState();
     private Planner planner = newPlanner();
-    private int lives;
+    private int incarnationCount;
 
-    private CellState newLedger()
+    private CellState newCellState()
     {
         return new CellState(clock::get, TimeUnit.SECONDS.toNanos(14));
     }
 
     private Planner newPlanner()
     {
-        return new Planner(ledger, new NoTickets(), new WaitingFirstScore(0.5));
+        return new Planner(cellState, new NoTickets(), new WaitingFirstScore(0.5));
     }
 
     private void advance(long millis)
@@ -49,17 +49,17 @@
 
     private Task accept()
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 1_000, List.of())), 1, null, 0);
-        return ledger.find(TASK);
+        cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 1_000, List.of())), 1, null, 0);
+        return cellState.find(TASK);
     }
 
-    /** Another life of the only worker is listed. */
-    private TrackedWorker list()
+    /** Lists a new incarnation of the only worker. */
+    private TrackedWorker listIncarnation()
     {
-        lives++;
-        TrackedWorker slot = ledger.list(TestJobs.worker("w" + lives, WORKER_CPU));
-        slot.recordHeartbeat(clock.get());
-        return slot;
+        incarnationCount++;
+        TrackedWorker worker = cellState.list(TestJobs.worker("w" + incarnationCount, WORKER_CPU));
+        worker.recordHeartbeat(clock.get());
+        return worker;
     }
 
     private void startAll()
@@ -71,167 +71,167 @@
         }
     }
 
-    private Effects end(TrackedWorker slot, WorkerLossCause how)
+    private Effects loseWorker(TrackedWorker worker, WorkerLossCause cause)
     {
-        slot.unlisted();
-        return ledger.onWorkerLost(slot, how);
+        worker.unlisted();
+        return cellState.onWorkerLost(worker, cause);
     }
 
-    private void look(TrackedWorker slot, Task task)
+    private void heartbeat(TrackedWorker worker, Task task)
     {
-        ledger.applyHeartbeat(slot, TestJobs.answer(List.of(TestJobs.running(task)), List.of()), 0,
+        cellState.applyHeartbeat(worker, TestJobs.answer(List.of(TestJobs.running(task)), List.of()), 0,
                 clock.get());
     }
 
-    /** The only worker gets the task, and its life ends in some way after a while. */
-    private Effects startAndEnd(WorkerLossCause how, long millis)
+    /** Starts the task on the only worker and loses the worker after the given time. */
+    private Effects startAndLoseWorker(WorkerLossCause cause, long millis)
     {
-        TrackedWorker slot = list();
+        TrackedWorker worker = listIncarnation();
         startAll();
-        Task task = ledger.find(TASK);
-        assertThat(task.worker()).isSameInstanceAs(slot);
+        Task task = cellState.find(TASK);
+        assertThat(task.worker()).isSameInstanceAs(worker);
         advance(millis);
         if (millis > 0)
         {
-            look(slot, task);
+            heartbeat(worker, task);
         }
-        return end(slot, how);
+        return loseWorker(worker, cause);
     }
 
     @Test
-    void twoCrashesRightAfterTheStartAreEnoughWhereNothingElseHadJustBegun()
+    void failsTaskAfterTwoStartCrashesInIsolation()
     {
         Task task = accept();
-        startAndEnd(WorkerLossCause.CRASHED, 0);
+        startAndLoseWorker(WorkerLossCause.CRASHED, 0);
         assertThat(task.step().job().state()).isEqualTo(JobState.RUNNING);
-        Effects effects = startAndEnd(WorkerLossCause.CRASHED, 0);
+        Effects effects = startAndLoseWorker(WorkerLossCause.CRASHED, 0);
         assertThat(effects.givenUp()).hasSize(1);
         assertThat(effects.givenUp().getFirst().crashes().proven()).containsExactly("w1", "w2");
         assertThat(task.step().job().state()).isEqualTo(JobState.FAILED);
     }
 
     @Test
-    void crashesThatComeLaterCountThreeTimes()
+    void failsTaskAfterThreeLaterCrashes()
     {
         Task task = accept();
-        startAndEnd(WorkerLossCause.CRASHED, 2_000);
-        startAndEnd(WorkerLossCause.CRASHED, 2_000);
+        startAndLoseWorker(WorkerLossCause.CRASHED, 2_000);
+        startAndLoseWorker(WorkerLossCause.CRASHED, 2_000);
         assertThat(task.step().job().state()).isEqualTo(JobState.RUNNING);
-        startAndEnd(WorkerLossCause.CRASHED, 2_000);
+        startAndLoseWorker(WorkerLossCause.CRASHED, 2_000);
         assertThat(task.step().job().state()).isEqualTo(JobState.FAILED);
     }
 
     @Test
-    void aTaskThatOutlivedAllSuspicionIsClearedOfIt()
+    void clearsHistoryOfTaskThatRunsLongEnough()
     {
         Task task = accept();
-        startAndEnd(WorkerLossCause.CRASHED, 0);
-        list();
+        startAndLoseWorker(WorkerLossCause.CRASHED, 0);
+        listIncarnation();
         startAll();
-        advance(CrashGuard.CLEARED_MILLIS);
-        look(task.worker(), task);
-        ledger.failPoisonTasks();
+        advance(CrashGuard.CLEAR_AFTER_MILLIS);
+        heartbeat(task.worker(), task);
+        cellState.failPoisonTasks();
         assertThat(task.crashes().isEmpty()).isTrue();
     }
 
     @Test
-    void aWorkerThatLeavesOrLapsesWhileItIsListedCountsForNothing()
+    void ignoresLeavingAndExpiredWorkersThatAreStillListed()
     {
         Task task = accept();
-        for (int i = 0; i < 2 * CrashGuard.MOST_IN_ALL; i++)
+        for (int i = 0; i < 2 * CrashGuard.TOTAL_CRASH_THRESHOLD; i++)
         {
-            TrackedWorker slot = list();
+            TrackedWorker worker = listIncarnation();
             startAll();
-            ledger.onWorkerLost(slot, i % 2 == 0 ? WorkerLossCause.LEFT : WorkerLossCause.LAPSED);
-            ledger.failPoisonTasks();
+            cellState.onWorkerLost(worker, i % 2 == 0 ? WorkerLossCause.LEFT : WorkerLossCause.LAPSED);
+            cellState.failPoisonTasks();
         }
         assertThat(task.step().job().state()).isEqualTo(JobState.RUNNING);
     }
 
     @Test
-    void workersThatFellSilentAndAreGoneCountInTheEnd()
+    void failsTaskAfterEnoughUnresponsiveWorkersAreGone()
     {
         Task task = accept();
-        for (int i = 0; i < CrashGuard.MOST_IN_ALL; i++)
+        for (int i = 0; i < CrashGuard.TOTAL_CRASH_THRESHOLD; i++)
         {
             assertThat(task.step().job().state()).isNotEqualTo(JobState.FAILED);
-            startAndEnd(WorkerLossCause.LAPSED, 0);
+            startAndLoseWorker(WorkerLossCause.LAPSED, 0);
         }
         assertThat(task.step().job().state()).isEqualTo(JobState.FAILED);
     }
 
     @Test
-    void aStartThatWasNeverSentCountsForNothing()
+    void ignoresStartThatWasNeverSent()
     {
         Task task = accept();
-        TrackedWorker slot = list();
+        TrackedWorker worker = listIncarnation();
         planner.plan(clock.get(), 0);
-        end(slot, WorkerLossCause.CRASHED);
+        loseWorker(worker, WorkerLossCause.CRASHED);
         assertThat(task.crashes().isEmpty()).isTrue();
     }
 
     @Test
-    void aWorkerThatHadSaidThatItLeavesHasNotCrashed()
+    void unlistedDrainingWorkerIsLeaving()
     {
         accept();
-        TrackedWorker slot = list();
+        TrackedWorker worker = listIncarnation();
         startAll();
-        ledger.list(new WorkerEntry(WorkerIncarnation.parse(slot.id()), "service", "127.0.0.1:1", "hall",
+        cellState.list(new WorkerEntry(WorkerIncarnation.parse(worker.id()), "service", "127.0.0.1:1", "hall",
                 true, 1_000, new ComputeResources(0, WORKER_CPU, 32_768, 0), Set.of(), "r"));
-        slot.unlisted();
-        assertThat(slot.isLeaving()).isTrue();
+        worker.unlisted();
+        assertThat(worker.isLeaving()).isTrue();
     }
 
-    /** What one owner has learnt lies in the store, and the next one gives the task up. */
+    /** The crash history is stored with the progress of the job. */
     @Test
-    void theNextOwnerKnowsOfTheCrashesBefore()
+    void nextOwnerRestoresCrashHistory()
     {
         Task task = accept();
-        startAndEnd(WorkerLossCause.CRASHED, 0);
+        startAndLoseWorker(WorkerLossCause.CRASHED, 0);
         JobProgress progress = JobCodec.readProgress(JobCodec.writeProgress(task.step().job().progress()));
-        ledger = newLedger();
+        cellState = newCellState();
         planner = newPlanner();
-        ledger.accept(task.step().job().record(), 1, progress, 0);
-        Effects effects = startAndEnd(WorkerLossCause.CRASHED, 0);
+        cellState.accept(task.step().job().record(), 1, progress, 0);
+        Effects effects = startAndLoseWorker(WorkerLossCause.CRASHED, 0);
         assertThat(effects.givenUp()).hasSize(1);
     }
 
     @Test
-    void nothingElseBeginsWhereASuspectIsOnTrial()
+    void startsNothingElseBesideIsolatedSuspect()
     {
         Task suspect = accept();
-        startAndEnd(WorkerLossCause.CRASHED, 0);
-        TrackedWorker slot = list();
+        startAndLoseWorker(WorkerLossCause.CRASHED, 0);
+        TrackedWorker worker = listIncarnation();
         startAll();
-        ledger.accept(TestJobs.job("00000000000000bb", TestJobs.step(1, 1_000, List.of())), 1, null, 0);
+        cellState.accept(TestJobs.job("00000000000000bb", TestJobs.step(1, 1_000, List.of())), 1, null, 0);
         assertThat(planner.plan(clock.get(), 0).starts()).isEmpty();
         advance(CrashGuard.TRIAL_MILLIS);
-        look(slot, suspect);
+        heartbeat(worker, suspect);
         assertThat(planner.plan(clock.get(), 0).starts()).hasSize(1);
     }
 
-    /** A bystander's crash is explained once the task that did it is given up. */
+    /** Guards against suspecting a task whose crashes are explained by a confirmed poison task. */
     @Test
-    void theCrashOfAGuiltyTaskCountsNoMoreForItsNeighbour()
+    void confirmedPoisonTaskClearsItsNeighbour()
     {
         accept();
-        ledger.accept(TestJobs.job("00000000000000bb", TestJobs.step(1, 1_000, List.of())), 1, null, 0);
-        Task neighbour = ledger.find("00000000000000bb.0.0.0");
-        startAndEnd(WorkerLossCause.CRASHED, 0);
+        cellState.accept(TestJobs.job("00000000000000bb", TestJobs.step(1, 1_000, List.of())), 1, null, 0);
+        Task neighbour = cellState.find("00000000000000bb.0.0.0");
+        startAndLoseWorker(WorkerLossCause.CRASHED, 0);
         assertThat(neighbour.crashes().count(Attribution.AT_START)).isEqualTo(1);
-        TrackedWorker slot = list();
+        TrackedWorker worker = listIncarnation();
         startAll();
-        Task tried = slot.tasks().getFirst();
-        Task other = tried == neighbour ? ledger.find(TASK) : neighbour;
-        end(slot, WorkerLossCause.CRASHED);
-        assertThat(tried.step().job().state()).isEqualTo(JobState.FAILED);
+        Task isolated = worker.tasks().getFirst();
+        Task other = isolated == neighbour ? cellState.find(TASK) : neighbour;
+        loseWorker(worker, WorkerLossCause.CRASHED);
+        assertThat(isolated.step().job().state()).isEqualTo(JobState.FAILED);
         assertThat(other.crashes().count(Attribution.EXPLAINED)).isEqualTo(1);
         assertThat(other.isSuspect()).isFalse();
     }
 
-    private void startBy(Task task, TrackedWorker slot, boolean isAnswered)
+    private void startOn(Task task, TrackedWorker worker, boolean isAnswered)
     {
-        task.order(slot, task.run() + 1, clock.get());
+        task.order(worker, task.run() + 1, clock.get());
         task.sent();
         if (isAnswered)
         {
@@ -239,34 +239,25 @@
         }
     }
 
-    /**
-     * A good task was placed beside a harmful one three times and its starts got no answer, since the
-     * worker had crashed before they came. Both were to be given up at the same moment, the good one
-     * first, with four crashes that were not proven, and its job was shown as failed.
-     *
-     * <pre>
-     * 54691 E525 TASK_GIVEN_UP 2e.0.0.1 crashed [w1 UNPROVEN, w3-3 UNPROVEN, w3-3 UNPROVEN, w2-3 UNPROVEN]
-     * 54692 E525 TASK_GIVEN_UP 2f.0.0.0 crashed [w3-3 AT_START, w3-3 AT_START, w2-3 AT_START]
-     * </pre>
-     */
+    /** Guards against failing a good task first for its unproven crashes beside a poison task. */
     @Test
-    void theTaskThatSurelyDidItIsGivenUpBeforeItsNeighboursAreJudged()
+    void failsAttributedPoisonTaskBeforeItsNeighbours()
     {
-        Task harmful = accept();
-        ledger.accept(TestJobs.job("00000000000000bb", TestJobs.step(1, 1_000, List.of())), 1, null, 0);
-        Task neighbour = ledger.find("00000000000000bb.0.0.0");
-        TrackedWorker first = list();
-        startBy(neighbour, first, false);
-        end(first, WorkerLossCause.CRASHED);
-        for (int i = 0; i < CrashGuard.MOST_CRASHES; i++)
+        Task poison = accept();
+        cellState.accept(TestJobs.job("00000000000000bb", TestJobs.step(1, 1_000, List.of())), 1, null, 0);
+        Task neighbour = cellState.find("00000000000000bb.0.0.0");
+        TrackedWorker first = listIncarnation();
+        startOn(neighbour, first, false);
+        loseWorker(first, WorkerLossCause.CRASHED);
+        for (int i = 0; i < CrashGuard.ATTRIBUTED_CRASH_THRESHOLD; i++)
         {
-            TrackedWorker slot = list();
-            startBy(neighbour, slot, false);
-            startBy(harmful, slot, true);
-            end(slot, WorkerLossCause.CRASHED);
+            TrackedWorker worker = listIncarnation();
+            startOn(neighbour, worker, false);
+            startOn(poison, worker, true);
+            loseWorker(worker, WorkerLossCause.CRASHED);
         }
-        ledger.failPoisonTasks();
-        assertThat(harmful.step().job().state()).isEqualTo(JobState.FAILED);
+        cellState.failPoisonTasks();
+        assertThat(poison.step().job().state()).isEqualTo(JobState.FAILED);
         assertThat(neighbour.step().job().state()).isNotEqualTo(JobState.FAILED);
         assertThat(neighbour.crashes().crashes()).hasSize(1);
     }
