--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/FakeMachine.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/FakeMachine.java
@@ -9,58 +9,58 @@
 import java.util.function.Predicate;
 
 /**
- * A place at which one life of a worker follows another: harmful tasks crash it, and some time
- * later it is back under another id. The entry of the life before stays listed for a while.
+ * A machine with successive worker incarnations. Poison tasks crash the worker, which restarts
+ * after a delay under another id. The entry of the previous worker remains listed for a while.
  */
 final class FakeMachine
 {
-    /** The place answers as another life again this long after a crash. */
+    /** Time from a crash to the restart. */
     private static final long DOWN_MILLIS = 150;
-    /** The entry of a life goes this long after the next life has come. */
-    private static final long STALE_MILLIS = 1_000;
+    /** Time from a restart until the entry of the previous worker is removed. */
+    private static final long STALE_ENTRY_MILLIS = 1_000;
 
     private final FakePlatform platform;
     private final String name;
-    private final Predicate<String> harmful;
-    private final List<FakeWorker> lives = new ArrayList<>();
+    private final Predicate<String> poisonTasks;
+    private final List<FakeWorker> incarnations = new ArrayList<>();
 
     /**
-     * Lists the first life.
+     * Creates a machine and lists its first worker.
      *
-     * @param platform where its lives are listed
-     * @param name the lives are called NAME-1, NAME-2 and so on
-     * @param harmful the tasks, by their full names, that crash it
+     * @param platform lists the workers
+     * @param name prefix of the worker ids, which are NAME-1, NAME-2 and so on
+     * @param poisonTasks accepts the full names of the tasks that crash the worker
      */
-    FakeMachine(FakePlatform platform, String name, Predicate<String> harmful) throws InterruptedException
+    FakeMachine(FakePlatform platform, String name, Predicate<String> poisonTasks) throws InterruptedException
     {
         this.platform = platform;
         this.name = name;
-        this.harmful = harmful;
-        beginLife();
+        this.poisonTasks = poisonTasks;
+        startIncarnation();
     }
 
-    private synchronized void beginLife() throws InterruptedException
+    private synchronized void startIncarnation() throws InterruptedException
     {
-        String id = name + '-' + (lives.size() + 1);
+        String id = name + '-' + (incarnations.size() + 1);
         FakeWorker worker = new FakeWorker();
-        worker.crashOn(harmful, () -> OwnerTerm.inBackground(id, () -> comeBack(id, worker)));
-        lives.add(worker);
+        worker.crashOn(poisonTasks, () -> OwnerTerm.inBackground(id, () -> restart(id, worker)));
+        incarnations.add(worker);
         platform.add(id, worker);
     }
 
-    private void comeBack(String id, FakeWorker before) throws InterruptedException
+    private void restart(String id, FakeWorker previous) throws InterruptedException
     {
         Thread.sleep(DOWN_MILLIS);
-        before.endLife();
-        beginLife();
-        Thread.sleep(STALE_MILLIS);
+        previous.endLife();
+        startIncarnation();
+        Thread.sleep(STALE_ENTRY_MILLIS);
         platform.unlist(id);
     }
 
-    /** How many runs of a task have begun on all of its lives. */
-    synchronized int begun(String task)
+    /** Returns the number of runs of a task that were started on all workers of this machine. */
+    synchronized int startCount(String task)
     {
-        return (int) lives.stream().flatMap(life -> life.begun().stream())
+        return (int) incarnations.stream().flatMap(incarnation -> incarnation.begun().stream())
                 .filter(run -> run.startsWith(task + '/')).count();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/FakeWorker.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/FakeWorker.java
@@ -23,206 +23,207 @@
 import org.gaugehollow.worker.WorkerPort;
 
 /**
- * A worker in memory that keeps the rules of fences, runs and ends, and loses answers on demand.
+ * An in-memory worker that implements fencing, runs and run ends, and can lose or delay replies.
  */
 final class FakeWorker implements WorkerPort
 {
     private static final long FIRST_CLOCK_MILLIS = 1_000;
 
-    private final long begunNanos = SteadyClock.nanos();
+    private final long startNanos = SteadyClock.nanos();
     private final Map<String, Integer> running = new HashMap<>();
-    private final Map<String, Integer> highestOver = new HashMap<>();
+    private final Map<String, Integer> highestEndedRun = new HashMap<>();
     private final List<EndedRun> ends = new ArrayList<>();
-    private final List<String> begun = new ArrayList<>();
-    private final List<String> stopped = new ArrayList<>();
+    private final List<String> startedRuns = new ArrayList<>();
+    private final List<String> stoppedTasks = new ArrayList<>();
     private long fence;
     private long lastEnd;
     private int startsToLose;
-    private int startsAsked;
+    private int startCount;
     private int stopsToLose;
-    private int stopsToTurnAway;
-    private int looks;
-    private boolean holdsStartAnswers;
-    private boolean holdsStopAnswers;
-    private boolean holdsLookAnswers;
+    private int stopsToRefuse;
+    private int heartbeatCount;
+    private boolean delaysStartReplies;
+    private boolean delaysStopReplies;
+    private boolean delaysHeartbeatReplies;
     private StartCommand lostStart;
-    private boolean otherLife;
-    private boolean silent;
+    private boolean isReplaced;
+    private boolean unresponsive;
     private boolean closed;
     private boolean unhealthy;
-    private boolean startsHeld;
+    private boolean delaysStarts;
     private long newestDeadline;
     private String newestTicket;
-    private Predicate<String> harmful = task -> false;
+    private Predicate<String> poisonTasks = task -> false;
     private Runnable onCrash = () ->
     {
     };
 
-    /** Its clock. */
+    /** Returns the clock of the worker in milliseconds. */
     long clockMillis()
     {
-        return TimeUnit.NANOSECONDS.toMillis(SteadyClock.nanos() - begunNanos) + FIRST_CLOCK_MILLIS;
+        return TimeUnit.NANOSECONDS.toMillis(SteadyClock.nanos() - startNanos) + FIRST_CLOCK_MILLIS;
     }
 
-    /** The next starts are not carried out and not answered; the last of them can arrive late. */
+    /**
+     * Loses the given number of starts: they are neither executed nor answered. The last one can be
+     * delivered later.
+     */
     synchronized void loseStarts(int count)
     {
         startsToLose = count;
     }
 
-    /** The next stops are not carried out and not answered. */
+    /** Loses the given number of stops: they are neither executed nor answered. */
     synchronized void loseStops(int count)
     {
         stopsToLose = count;
     }
 
-    /** The next stops are turned away and not carried out. */
-    synchronized void turnAwayStops(int count)
+    /** Refuses the given number of stops. */
+    synchronized void refuseStops(int count)
     {
-        stopsToTurnAway = count;
+        stopsToRefuse = count;
     }
 
-    /** Whether starts are carried out at once but answered only once this is over. */
-    synchronized void holdStartAnswers(boolean value)
+    /** Sets whether starts are executed without being answered until the delay is ended. */
+    synchronized void delayStartReplies(boolean value)
     {
-        holdsStartAnswers = value;
+        delaysStartReplies = value;
         notifyAll();
     }
 
-    /** Whether stops are carried out at once but answered only once this is over. */
-    synchronized void holdStopAnswers(boolean value)
+    /** Sets whether stops are executed without being answered until the delay is ended. */
+    synchronized void delayStopReplies(boolean value)
     {
-        holdsStopAnswers = value;
+        delaysStopReplies = value;
         notifyAll();
     }
 
-    /** Whether looks are answered only once this is over, as they would have been before. */
-    synchronized void holdLookAnswers(boolean value)
+    /** Sets whether the replies to heartbeats are delayed. Their contents do not change meanwhile. */
+    synchronized void delayHeartbeatReplies(boolean value)
     {
-        holdsLookAnswers = value;
+        delaysHeartbeatReplies = value;
         notifyAll();
     }
 
-    /** How many looks at it have begun. */
+    /** Returns the number of heartbeats received. */
     synchronized int looks()
     {
-        return looks;
+        return heartbeatCount;
     }
 
-    /** Whether it has a run of the task at work. */
+    /** Returns whether the task has a run on this worker. */
     synchronized boolean isRunning(String task)
     {
         return running.containsKey(task);
     }
 
-    /** The lost start arrives now; returns what becomes of it. */
+    /** Delivers the newest lost start and returns its result. */
     synchronized CommandResult arriveLate()
     {
-        return arrive(lostStart);
+        return deliver(lostStart);
     }
 
-    /** The newest start that was lost. */
+    /** Returns the newest lost start. */
     synchronized StartCommand lostStart()
     {
         return lostStart;
     }
 
-    /** A start that was sent before arrives now; returns what becomes of it. */
-    synchronized CommandResult arrive(StartCommand order)
+    /** Delivers a start that was sent earlier and returns its result. */
+    synchronized CommandResult deliver(StartCommand command)
     {
-        return carryOut(order);
+        return execute(command);
     }
 
-    /** It turns orders away, starts only once they are let go. */
+    /** Refuses all starts and stops, and delays the refusal of starts. */
     synchronized void turnAwayAndHoldStarts()
     {
         unhealthy = true;
-        startsHeld = true;
+        delaysStarts = true;
     }
 
-    /** The starts that are held are turned away now. */
+    /** Ends the delay of starts. */
     synchronized void letStartsGo()
     {
-        startsHeld = false;
+        delaysStarts = false;
         notifyAll();
     }
 
-    /** Another life answers from now on. */
+    /** Ends this incarnation: all later calls are answered by another one. */
     synchronized void endLife()
     {
-        otherLife = true;
-        silent = false;
+        isReplaced = true;
+        unresponsive = false;
         running.clear();
     }
 
-    /**
-     * A run of any of these tasks ends its life as soon as it has begun; the start is answered before.
-     */
+    /** Crashes the worker when a run of any of these tasks starts. The start is still answered. */
     synchronized void crashOn(Predicate<String> tasks, Runnable whenCrashed)
     {
-        harmful = tasks;
+        poisonTasks = tasks;
         onCrash = whenCrashed;
     }
 
-    /** It answers nothing any more, and nothing runs on it. */
+    /** Ends all runs and stops answering. */
     synchronized void crash()
     {
-        silent = true;
+        unresponsive = true;
         running.clear();
         notifyAll();
     }
 
-    /** Answers nothing from now on and runs on. */
+    /** Sets whether the worker leaves calls unanswered; its runs continue. */
     synchronized void setSilent(boolean value)
     {
-        silent = value;
+        unresponsive = value;
     }
 
-    /** A run as an earlier owner left it. */
+    /** Adds a run that an earlier owner started. */
     synchronized void runs(String task, int run)
     {
         running.put(task, run);
     }
 
-    synchronized void end(String task, RunEnd how)
+    synchronized void end(String task, RunEnd outcome)
     {
         int run = running.remove(task);
-        highestOver.merge(task, run, Math::max);
+        highestEndedRun.merge(task, run, Math::max);
         lastEnd++;
-        ends.add(new EndedRun(lastEnd, task, run, how, ""));
+        ends.add(new EndedRun(lastEnd, task, run, outcome, ""));
         notifyAll();
     }
 
-    /** Tasks and runs that began here, in order. */
+    /** Returns the started runs as TASK/RUN in the order of their starts. */
     synchronized List<String> begun()
     {
-        return List.copyOf(begun);
+        return List.copyOf(startedRuns);
     }
 
     synchronized List<String> stopped()
     {
-        return List.copyOf(stopped);
+        return List.copyOf(stoppedTasks);
     }
 
-    /** How many starts were sent here, whatever became of them. */
+    /** Returns the number of starts received, whatever their result. */
     synchronized int startsAsked()
     {
-        return startsAsked;
+        return startCount;
     }
 
-    /** The latest time that a look was to set for its lease, answered or not, on its clock. */
+    /** Returns the latest lease deadline of all heartbeats, by the clock of the worker. */
     synchronized long newestDeadline()
     {
         return newestDeadline;
     }
 
-    /** The ticket of the newest start that was sent here. */
+    /** Returns the ticket of the newest start. */
     synchronized String newestTicket()
     {
         return newestTicket;
     }
 
-    /** Whether a session with it was closed. */
+    /** Returns whether a session with the worker was closed. */
     synchronized boolean isClosed()
     {
         return closed;
@@ -233,39 +234,39 @@
         return ends.size();
     }
 
-    private CommandResult check(long token)
+    private CommandResult checkCall(long fencingToken)
     {
-        if (silent)
+        if (unresponsive)
         {
             return CommandResult.UNKNOWN;
         }
-        if (otherLife)
+        if (isReplaced)
         {
             return CommandResult.OTHER_LIFE;
         }
-        if (token < fence)
+        if (fencingToken < fence)
         {
             return CommandResult.FENCED;
         }
-        fence = token;
+        fence = fencingToken;
         return CommandResult.DONE;
     }
 
-    private CommandResult carryOut(StartCommand order)
+    private CommandResult execute(StartCommand command)
     {
-        CommandResult checked = check(order.fence());
+        CommandResult checked = checkCall(command.fence());
         if (checked != CommandResult.DONE)
         {
             return checked;
         }
-        if (highestOver.getOrDefault(order.task(), 0) >= order.run())
+        if (highestEndedRun.getOrDefault(command.task(), 0) >= command.run())
         {
             return CommandResult.OLD_RUN;
         }
-        if (running.put(order.task(), order.run()) == null)
+        if (running.put(command.task(), command.run()) == null)
         {
-            begun.add(order.task() + '/' + order.run());
-            if (harmful.test(order.task()))
+            startedRuns.add(command.task() + '/' + command.run());
+            if (poisonTasks.test(command.task()))
             {
                 crash();
                 onCrash.run();
@@ -275,11 +276,12 @@
     }
 
     @Override
-    public synchronized CommandReply start(StartCommand order, int timeoutMillis) throws InterruptedException
+    public synchronized CommandReply start(StartCommand command, int timeoutMillis)
+            throws InterruptedException
     {
-        startsAsked++;
-        newestTicket = order.ticket();
-        while (startsHeld)
+        startCount++;
+        newestTicket = command.ticket();
+        while (delaysStarts)
         {
             wait();
         }
@@ -290,11 +292,11 @@
         if (startsToLose > 0)
         {
             startsToLose--;
-            lostStart = order;
+            lostStart = command;
             return new CommandReply(CommandResult.UNKNOWN, 0);
         }
-        CommandResult result = carryOut(order);
-        while (holdsStartAnswers)
+        CommandResult result = execute(command);
+        while (delaysStartReplies)
         {
             wait();
         }
@@ -302,16 +304,16 @@
     }
 
     @Override
-    public synchronized CommandReply stop(String task, int run, long token, int timeoutMillis)
+    public synchronized CommandReply stop(String task, int run, long fencingToken, int timeoutMillis)
             throws InterruptedException
     {
         if (unhealthy)
         {
             return new CommandReply(CommandResult.UNHEALTHY, clockMillis());
         }
-        if (stopsToTurnAway > 0)
+        if (stopsToRefuse > 0)
         {
-            stopsToTurnAway--;
+            stopsToRefuse--;
             return new CommandReply(CommandResult.UNHEALTHY, clockMillis());
         }
         if (stopsToLose > 0)
@@ -319,17 +321,17 @@
             stopsToLose--;
             return new CommandReply(CommandResult.UNKNOWN, 0);
         }
-        CommandResult checked = check(token);
+        CommandResult checked = checkCall(fencingToken);
         if (checked == CommandResult.DONE)
         {
-            stopped.add(task);
-            highestOver.merge(task, run, Math::max);
+            stoppedTasks.add(task);
+            highestEndedRun.merge(task, run, Math::max);
             if (running.getOrDefault(task, 0) == run)
             {
                 end(task, RunEnd.STOPPED);
             }
         }
-        while (holdsStopAnswers)
+        while (delaysStopReplies)
         {
             wait();
         }
@@ -337,40 +339,40 @@
     }
 
     @Override
-    public synchronized CommandReply throttle(String task, int run, int percent, long token,
+    public synchronized CommandReply throttle(String task, int run, int percent, long fencingToken,
             int timeoutMillis)
     {
-        return new CommandReply(check(token), clockMillis());
+        return new CommandReply(checkCall(fencingToken), clockMillis());
     }
 
     @Override
-    public synchronized HeartbeatReply heartbeat(HeartbeatRequest order, int timeoutMillis)
+    public synchronized HeartbeatReply heartbeat(HeartbeatRequest request, int timeoutMillis)
             throws InterruptedException
     {
-        looks++;
-        newestDeadline = Math.max(newestDeadline, order.deadline());
-        if (silent)
+        heartbeatCount++;
+        newestDeadline = Math.max(newestDeadline, request.deadline());
+        if (unresponsive)
         {
             wait(timeoutMillis);
             return HeartbeatReply.refused(CommandResult.UNKNOWN);
         }
-        CommandResult checked = check(order.fence());
+        CommandResult checked = checkCall(request.fence());
         if (checked != CommandResult.DONE)
         {
             return HeartbeatReply.refused(checked);
         }
-        ends.removeIf(end -> end.number() <= order.lastAckedEnd());
-        if (ends.isEmpty() && order.waitMillis() > 0)
+        ends.removeIf(end -> end.number() <= request.lastAckedEnd());
+        if (ends.isEmpty() && request.waitMillis() > 0)
         {
-            wait(order.waitMillis());
+            wait(request.waitMillis());
         }
-        List<RunningRun> rows = new ArrayList<>();
-        running.forEach((task, run) -> rows.add(new RunningRun(task, run, "", 1, 0)));
-        while (holdsLookAnswers)
+        List<RunningRun> runs = new ArrayList<>();
+        running.forEach((task, run) -> runs.add(new RunningRun(task, run, "", 1, 0)));
+        while (delaysHeartbeatReplies)
         {
             wait();
         }
-        return new HeartbeatReply(CommandResult.DONE, clockMillis(), rows, List.copyOf(ends));
+        return new HeartbeatReply(CommandResult.DONE, clockMillis(), runs, List.copyOf(ends));
     }
 
     @Override
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/SimulatedCell.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/SimulatedCell.java
@@ -22,60 +22,60 @@
 import org.gaugehollow.worker.RunEnd;
 
 /**
- * An owner's decisions against machines that crash and come back, in simulated time: one round each
- * 10 ms. Machines crash under harmful jobs, whose runs live for 10 ms, and by themselves.
+ * Simulates the decisions of an owner on machines that crash and restart. Simulated time advances
+ * in steps of 10 ms. Machines crash 10 ms after the start of a poison job, or when a test crashes
+ * them.
  */
 final class SimulatedCell
 {
     private static final long STEP_MILLIS = 10;
-    private static final long LOOK_MILLIS = 500;
+    private static final long HEARTBEAT_MILLIS = 500;
     private static final long DOWN_MILLIS = 3_000;
     private static final int WORKER_CPU = 16_000;
 
-    /** A run on a machine. */
-    private record Run(Task task, int number, long begunMillis, long lastsMillis)
+    private record Run(Task task, int number, long startedMillis, long durationMillis)
     {
     }
 
-    /** A machine with its present life. */
+    /** A machine with its current worker incarnation. */
     private final class Machine
     {
         private final String name;
         private final List<Run> runs = new ArrayList<>();
         private final List<EndedRun> ends = new ArrayList<>();
-        private TrackedWorker slot;
-        private int life;
+        private TrackedWorker worker;
+        private int incarnation;
         private long downUntilMillis;
         private boolean isDown;
-        private boolean hasBroken;
-        private long lookedMillis;
+        private boolean hasLostConnection;
+        private long heartbeatMillis;
         private long lastEnd;
 
         Machine(String name)
         {
             this.name = name;
-            begin();
+            startIncarnation();
         }
 
-        private void begin()
+        private void startIncarnation()
         {
-            life++;
+            incarnation++;
             isDown = false;
             lastEnd = 0;
-            slot = ledger.list(TestJobs.worker(name + '-' + life, WORKER_CPU));
-            slot.recordHeartbeat(clock.get());
-            lookedMillis = nowMillis;
+            worker = cellState.list(TestJobs.worker(name + '-' + incarnation, WORKER_CPU));
+            worker.recordHeartbeat(clock.get());
+            heartbeatMillis = nowMillis;
         }
 
         private void crash()
         {
             crashes++;
-            runs.stream().filter(run -> !isHarmful(run.task()))
-                    .forEach(run -> lostMillis += nowMillis - run.begunMillis());
+            runs.stream().filter(run -> !isPoison(run.task()))
+                    .forEach(run -> lostMillis += nowMillis - run.startedMillis());
             runs.clear();
             ends.clear();
             isDown = true;
-            hasBroken = !isDark;
+            hasLostConnection = !crashesSilently;
             downUntilMillis = nowMillis + DOWN_MILLIS;
         }
 
@@ -83,59 +83,60 @@
         {
             if (isDown && nowMillis >= downUntilMillis)
             {
-                slot.unlisted();
-                take(ledger.onWorkerLost(slot, WorkerLossCause.CRASHED));
-                begin();
+                worker.unlisted();
+                recordFailures(cellState.onWorkerLost(worker, WorkerLossCause.CRASHED));
+                startIncarnation();
             }
             if (!isDown)
             {
-                work();
+                advanceRuns();
             }
-            look();
+            heartbeat();
         }
 
-        private void work()
+        private void advanceRuns()
         {
-            for (Iterator<Run> all = runs.iterator(); all.hasNext();)
+            for (Iterator<Run> iterator = runs.iterator(); iterator.hasNext();)
             {
-                Run run = all.next();
-                boolean isOver = nowMillis - run.begunMillis() >= run.lastsMillis();
-                if (isOver && isHarmful(run.task()))
+                Run run = iterator.next();
+                boolean hasEnded = nowMillis - run.startedMillis() >= run.durationMillis();
+                if (hasEnded && isPoison(run.task()))
                 {
                     crash();
                     return;
                 }
-                if (isOver)
+                if (hasEnded)
                 {
-                    all.remove();
+                    iterator.remove();
                     lastEnd++;
                     ends.add(new EndedRun(lastEnd, run.task().name(), run.number(), RunEnd.DONE, ""));
                 }
             }
         }
 
-        private void look()
+        private void heartbeat()
         {
-            boolean isDue = nowMillis - lookedMillis >= LOOK_MILLIS || !isDown && !ends.isEmpty()
-                    || hasBroken;
-            hasBroken = false;
+            boolean isDue = nowMillis - heartbeatMillis >= HEARTBEAT_MILLIS || !isDown && !ends.isEmpty()
+                    || hasLostConnection;
+            hasLostConnection = false;
             if (!isDue)
             {
                 return;
             }
-            lookedMillis = nowMillis;
+            heartbeatMillis = nowMillis;
             if (isDown)
             {
-                slot.recordMissedHeartbeat(clock.get(), !isDark);
+                worker.recordMissedHeartbeat(clock.get(), !crashesSilently);
                 return;
             }
             List<RunningRun> rows = runs.stream()
                     .map(run -> new RunningRun(run.task().name(), run.number(), "", 1, 0)).toList();
-            take(ledger.applyHeartbeat(slot, TestJobs.answer(rows, List.copyOf(ends)), 0, clock.get()));
+            recordFailures(cellState.applyHeartbeat(worker, TestJobs.answer(rows, List.copyOf(ends)), 0,
+                    clock.get()));
             ends.clear();
         }
 
-        /** A start that is sent to a machine that is down gets no answer. */
+        /** Starts a run; a machine that is down does not answer. */
         private void start(Planner.Start start)
         {
             start.task().sent();
@@ -144,66 +145,69 @@
                 return;
             }
             start.task().startAnswered(clock.get());
-            boolean isLasting = start.task().step().spec().longRunning();
-            long lasts = isLasting ? Long.MAX_VALUE : start.task().step().spec().estimateMillis();
-            lasts = isHarmful(start.task()) ? STEP_MILLIS : lasts;
-            runs.add(new Run(start.task(), start.run(), nowMillis, lasts));
+            boolean isLongRunning = start.task().step().spec().longRunning();
+            long durationMillis = isLongRunning
+                    ? Long.MAX_VALUE
+                    : start.task().step().spec().estimateMillis();
+            durationMillis = isPoison(start.task()) ? STEP_MILLIS : durationMillis;
+            runs.add(new Run(start.task(), start.run(), nowMillis, durationMillis));
         }
     }
 
     private final AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(1_000));
-    private final CellState ledger = new CellState(clock::get, TimeUnit.SECONDS.toNanos(14));
-    private final Planner planner = new Planner(ledger, new NoTickets(), new WaitingFirstScore(0.5));
-    private final UnresponsiveWorkerGuard silentWorkerGuard = new UnresponsiveWorkerGuard(ledger);
+    private final CellState cellState = new CellState(clock::get, TimeUnit.SECONDS.toNanos(14));
+    private final Planner planner = new Planner(cellState, new NoTickets(), new WaitingFirstScore(0.5));
+    private final UnresponsiveWorkerGuard unresponsiveWorkerGuard = new UnresponsiveWorkerGuard(cellState);
     private final List<Machine> machines = new ArrayList<>();
-    private final Set<String> harmful = new HashSet<>();
-    private final Map<String, Long> givenUpMillis = new HashMap<>();
+    private final Set<String> poisonJobs = new HashSet<>();
+    private final Map<String, Long> failedMillis = new HashMap<>();
     private final List<Job> jobs = new ArrayList<>();
-    private final boolean isDark;
+    private final boolean crashesSilently;
     private long nowMillis;
     private int crashes;
     private long lostMillis;
 
     /**
-     * @param machineCount how many machines there are
-     * @param isDark whether machines that crash just fall silent; else connections to them break
+     * @param machineCount number of machines
+     * @param crashesSilently whether machines that crash only become unresponsive; otherwise
+     *            connections to them break
      */
-    SimulatedCell(int machineCount, boolean isDark)
+    SimulatedCell(int machineCount, boolean crashesSilently)
     {
-        this.isDark = isDark;
+        this.crashesSilently = crashesSilently;
         for (int i = 0; i < machineCount; i++)
         {
             machines.add(new Machine("m" + i));
         }
     }
 
-    /** A job is accepted. */
+    /** Accepts a job. */
     void accept(JobRecord record)
     {
-        ledger.accept(record, 1, null, 0);
-        jobs.add(ledger.find(record.id() + ".0.0.0").step().job());
+        cellState.accept(record, 1, null, 0);
+        jobs.add(cellState.find(record.id() + ".0.0.0").step().job());
     }
 
-    /** A job of which every run crashes its machine is accepted. */
-    void acceptHarmful(JobRecord record)
+    /** Accepts a job whose runs crash their machines. */
+    void acceptPoison(JobRecord record)
     {
-        harmful.add(record.id());
+        poisonJobs.add(record.id());
         accept(record);
     }
 
-    private boolean isHarmful(Task task)
+    private boolean isPoison(Task task)
     {
-        return harmful.contains(task.step().job().id());
+        return poisonJobs.contains(task.step().job().id());
     }
 
-    /** Some machines crash by themselves. */
+    /** Crashes a range of machines. */
     void crash(int first, int count)
     {
         machines.subList(first, first + count).stream().filter(machine -> !machine.isDown)
                 .forEach(Machine::crash);
     }
 
-    /** Goes on for some time. */
+    /** Advances the simulation. */
     void run(long millis)
     {
         long end = nowMillis + millis;
@@ -212,65 +216,65 @@
             nowMillis += STEP_MILLIS;
             clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(STEP_MILLIS));
             machines.forEach(Machine::step);
-            silentWorkerGuard.check(clock.get());
-            take(ledger.failPoisonTasks());
+            unresponsiveWorkerGuard.check(clock.get());
+            recordFailures(cellState.failPoisonTasks());
             planner.plan(clock.get(), nowMillis).starts().forEach(this::start);
         }
     }
 
     private void start(Planner.Start start)
     {
-        machines.stream().filter(machine -> machine.slot == start.slot()).findFirst().orElseThrow()
+        machines.stream().filter(machine -> machine.worker == start.slot()).findFirst().orElseThrow()
                 .start(start);
     }
 
-    private void take(Effects effects)
+    private void recordFailures(Effects effects)
     {
-        effects.givenUp().forEach(task -> givenUpMillis.put(task.task(), nowMillis));
+        effects.givenUp().forEach(task -> failedMillis.put(task.task(), nowMillis));
     }
 
-    /** How many lives of machines have ended. */
+    /** Returns the number of crashes. */
     int crashes()
     {
         return crashes;
     }
 
-    /** How much work of good tasks crashes have thrown away, in milliseconds of runs. */
+    /** Returns the run time of good tasks that was lost by crashes, in milliseconds. */
     long lostMillis()
     {
         return lostMillis;
     }
 
-    /** How many harmful jobs have been given up. */
-    long harmfulGivenUp()
+    /** Returns the number of poison jobs that have failed. */
+    long failedPoisonJobs()
     {
-        return jobs.stream().filter(job -> harmful.contains(job.id()) && job.state() == JobState.FAILED)
+        return jobs.stream().filter(job -> poisonJobs.contains(job.id()) && job.state() == JobState.FAILED)
                 .count();
     }
 
-    /** How many good jobs have been given up. */
-    long goodGivenUp()
+    /** Returns the number of good jobs that have failed. */
+    long failedGoodJobs()
     {
-        return jobs.stream().filter(job -> !harmful.contains(job.id()) && job.state() == JobState.FAILED)
+        return jobs.stream().filter(job -> !poisonJobs.contains(job.id()) && job.state() == JobState.FAILED)
                 .count();
     }
 
-    /** How many jobs have a task at work that was seen there for so long, in milliseconds. */
-    long atWorkFor(long millis)
+    /** Returns the number of tasks that have been observed running for at least the given time. */
+    long runningFor(long millis)
     {
         return jobs.stream().flatMap(job -> job.occupying().stream())
                 .filter(task -> task.seenMillis() >= millis).count();
     }
 
-    /** How many good jobs are done. */
-    long goodDone()
+    /** Returns the number of good jobs that have completed. */
+    long completedGoodJobs()
     {
         return jobs.stream().filter(job -> job.state() == JobState.COMPLETED).count();
     }
 
-    /** When the last task was given up, in milliseconds from the begin. */
-    long lastGivenUpMillis()
+    /** Returns the simulated time of the last failure in milliseconds. */
+    long lastFailureMillis()
     {
-        return givenUpMillis.values().stream().mapToLong(Long::longValue).max().orElse(0);
+        return failedMillis.values().stream().mapToLong(Long::longValue).max().orElse(0);
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/UnresponsiveWorkerGuardTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/UnresponsiveWorkerGuardTest.java
@@ -18,28 +18,31 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Tasks of which copies may run side by side do not wait for a silent worker's lease. */
+/**
+ * Guards against delaying tasks that allow duplicate runs until the lease of an unresponsive worker
+ * expires.
+ */
 class UnresponsiveWorkerGuardTest
 {
     private static final StepSpec SPECULATIVE = new StepSpec(1, 4_000, 100, 0, 800, List.of(), false, false,
             false, null, null, 0, true, false, null, 0, false, 0);
-    private static final long SILENCE = TimeUnit.MILLISECONDS.toNanos(450);
+    private static final long UNRESPONSIVE_NANOS = TimeUnit.MILLISECONDS.toNanos(450);
 
     private final AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(1_000));
-    private final CellState ledger = new CellState(clock::get, TimeUnit.SECONDS.toNanos(13));
-    private final Planner planner = new Planner(ledger, new NoTickets(), new WaitingFirstScore(0.5));
-    private final UnresponsiveWorkerGuard guard = new UnresponsiveWorkerGuard(ledger);
+    private final CellState cellState = new CellState(clock::get, TimeUnit.SECONDS.toNanos(13));
+    private final Planner planner = new Planner(cellState, new NoTickets(), new WaitingFirstScore(0.5));
+    private final UnresponsiveWorkerGuard guard = new UnresponsiveWorkerGuard(cellState);
 
     @BeforeEach
     void listWorkers()
     {
-        ledger.list(TestJobs.worker("w1", 4_000)).setLeaseHeld(true);
-        ledger.list(TestJobs.worker("w2", 4_000)).setLeaseHeld(true);
+        cellState.list(TestJobs.worker("w1", 4_000)).setLeaseHeld(true);
+        cellState.list(TestJobs.worker("w2", 4_000)).setLeaseHeld(true);
     }
 
     private Planner.Start startOf(StepSpec step)
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, step), 1, null, 0);
+        cellState.accept(TestJobs.job(TestJobs.ID, step), 1, null, 0);
         Planner.Start start = plan().getFirst();
         start.task().begun(clock.get());
         start.task().settle(clock.get());
@@ -51,102 +54,102 @@
         return planner.plan(clock.get(), 0).starts();
     }
 
-    private List<UnresponsiveWorkerGuard.AbandonedRun> fallSilent(TrackedWorker slot)
+    private List<UnresponsiveWorkerGuard.AbandonedRun> becomeUnresponsive(TrackedWorker worker)
     {
-        slot.recordMissedHeartbeat(clock.get(), false);
+        worker.recordMissedHeartbeat(clock.get(), false);
         assertThat(guard.check(clock.get())).isEmpty();
-        return guard.check(clock.addAndGet(SILENCE));
+        return guard.check(clock.addAndGet(UNRESPONSIVE_NANOS));
     }
 
-    private Effects end(TrackedWorker slot, Task task, int run, RunEnd how)
+    private Effects endRun(TrackedWorker worker, Task task, int run, RunEnd outcome)
     {
-        HeartbeatReply answer = TestJobs.answer(List.of(), List.of(TestJobs.ended(1, task, run, how)));
-        return ledger.applyHeartbeat(slot, answer, 0, clock.addAndGet(1_000_000));
+        HeartbeatReply reply = TestJobs.answer(List.of(), List.of(TestJobs.ended(1, task, run, outcome)));
+        return cellState.applyHeartbeat(worker, reply, 0, clock.addAndGet(1_000_000));
     }
 
     @Test
-    void aCopyIsStartedElsewhere()
+    void startsDuplicateRunElsewhere()
     {
         Planner.Start start = startOf(SPECULATIVE);
-        assertThat(fallSilent(start.slot())).hasSize(1);
-        Planner.Start copy = plan().getFirst();
-        assertThat(copy.slot()).isNotSameInstanceAs(start.slot());
-        assertThat(copy.run()).isEqualTo(2);
+        assertThat(becomeUnresponsive(start.slot())).hasSize(1);
+        Planner.Start duplicate = plan().getFirst();
+        assertThat(duplicate.slot()).isNotSameInstanceAs(start.slot());
+        assertThat(duplicate.run()).isEqualTo(2);
     }
 
     @Test
-    void aTaskThatMustNotHaveCopiesWaits()
+    void keepsRunOfNonSpeculativeTask()
     {
         Planner.Start start = startOf(TestJobs.step(1, 4_000, List.of()));
-        assertThat(fallSilent(start.slot())).isEmpty();
+        assertThat(becomeUnresponsive(start.slot())).isEmpty();
         assertThat(plan()).isEmpty();
     }
 
     @Test
-    void aStartThatMayStillArriveIsNotLeft()
+    void keepsUnansweredStart()
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, SPECULATIVE), 1, null, 0);
+        cellState.accept(TestJobs.job(TestJobs.ID, SPECULATIVE), 1, null, 0);
         Planner.Start start = plan().getFirst();
-        assertThat(fallSilent(start.slot())).isEmpty();
+        assertThat(becomeUnresponsive(start.slot())).isEmpty();
         assertThat(start.task().occupies()).isTrue();
     }
 
     @Test
-    void aWorkerThatAnswersInBetweenIsNotSilent()
+    void heartbeatResetsUnresponsiveTime()
     {
         Planner.Start start = startOf(SPECULATIVE);
         start.slot().recordMissedHeartbeat(clock.get(), false);
-        start.slot().recordHeartbeat(clock.addAndGet(SILENCE / 2));
-        assertThat(guard.check(clock.addAndGet(SILENCE))).isEmpty();
+        start.slot().recordHeartbeat(clock.addAndGet(UNRESPONSIVE_NANOS / 2));
+        assertThat(guard.check(clock.addAndGet(UNRESPONSIVE_NANOS))).isEmpty();
     }
 
     @Test
-    void theFirstCopyToEndWellCountsAndTheOtherIsStopped()
+    void firstSuccessfulRunStopsTheDuplicate()
     {
         Planner.Start start = startOf(SPECULATIVE);
-        fallSilent(start.slot());
-        Planner.Start copy = plan().getFirst();
-        Task task = copy.task();
+        becomeUnresponsive(start.slot());
+        Planner.Start duplicate = plan().getFirst();
+        Task task = duplicate.task();
         task.begun(clock.get());
         task.settle(clock.get());
-        Effects effects = end(start.slot(), task, 1, RunEnd.DONE);
+        Effects effects = endRun(start.slot(), task, 1, RunEnd.DONE);
         assertThat(effects.stops()).hasSize(1);
         assertThat(task.progress().done()).isTrue();
         assertThat(task.step().job().state()).isEqualTo(JobState.RUNNING);
-        end(copy.slot(), task, 2, RunEnd.STOPPED);
+        endRun(duplicate.slot(), task, 2, RunEnd.STOPPED);
         assertThat(task.step().job().state()).isEqualTo(JobState.COMPLETED);
         assertThat(plan()).isEmpty();
     }
 
     @Test
-    void aCopyThatEndsWellWhileNothingElseRunsCompletesTheJob()
+    void abandonedRunThatSucceedsCompletesTheJob()
     {
         Planner.Start start = startOf(SPECULATIVE);
         Task task = start.task();
-        fallSilent(start.slot());
-        end(start.slot(), task, 1, RunEnd.DONE);
+        becomeUnresponsive(start.slot());
+        endRun(start.slot(), task, 1, RunEnd.DONE);
         assertThat(task.step().job().state()).isEqualTo(JobState.COMPLETED);
     }
 
     @Test
-    void failuresOfCopiesCountOnce()
+    void countsFailureOfAbandonedRunOnce()
     {
         Planner.Start start = startOf(SPECULATIVE);
         Task task = start.task();
-        fallSilent(start.slot());
-        end(start.slot(), task, 1, RunEnd.FAILED);
-        end(start.slot(), task, 1, RunEnd.FAILED);
+        becomeUnresponsive(start.slot());
+        endRun(start.slot(), task, 1, RunEnd.FAILED);
+        endRun(start.slot(), task, 1, RunEnd.FAILED);
         assertThat(task.failures()).isEqualTo(1);
     }
 
     @Test
-    void aCopyThatIsFoundAgainIsStoppedBeforeItsWorkerGetsMore()
+    void stopsAbandonedRunBeforeItsWorkerAcceptsStarts()
     {
         Planner.Start start = startOf(SPECULATIVE);
-        fallSilent(start.slot());
+        becomeUnresponsive(start.slot());
         plan();
-        HeartbeatReply answer = TestJobs.answer(List.of(TestJobs.running(start.task(), 1)), List.of());
-        Effects effects = ledger.applyHeartbeat(start.slot(), answer, 0, clock.addAndGet(1_000_000));
+        HeartbeatReply reply = TestJobs.answer(List.of(TestJobs.running(start.task(), 1)), List.of());
+        Effects effects = cellState.applyHeartbeat(start.slot(), reply, 0, clock.addAndGet(1_000_000));
         assertThat(effects.stops()).hasSize(1);
         assertThat(start.slot().acceptsStarts()).isFalse();
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/WorkerLivesTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/WorkerIncarnationsTest.java
@@ -21,17 +21,17 @@
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
-/** Which answer of one life of a worker proves that another is over. */
+/** Tests which reply of one worker incarnation proves that another has ended. */
 @Execution(ExecutionMode.CONCURRENT)
-class WorkerLivesTest
+class WorkerIncarnationsTest
 {
     private static final String WORKER = "w1";
     private static final String TASK = TestJobs.ID + ".0.0.0";
-    /** Shorter than the lease of a life that does not answer. */
-    private static final long SOON_MILLIS = 4_000;
-    /** Longer than it takes to read the list of workers twice. */
-    private static final long READ_MILLIS = 1_800;
-    private static final byte NO_ROOM = 0;
+    /** Shorter than the lease of an unresponsive incarnation. */
+    private static final long TIMEOUT_MILLIS = 4_000;
+    /** Longer than two listings of the workers. */
+    private static final long LISTING_MILLIS = 1_800;
+    private static final byte NO_CAPACITY = 0;
 
     private final FakePlatform platform = new FakePlatform();
     private final FakeWorker first = new FakeWorker();
@@ -49,69 +49,71 @@
         platform.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 1_000, List.of())));
     }
 
-    /** The life before does not answer, so nothing else tells that its runs are over. */
+    /**
+     * The previous incarnation does not answer, so only the reply of the new one shows that its runs
+     * have ended.
+     */
     @Test
-    void theFirstAnswerOfALifeEndsTheOneBefore() throws InterruptedException
+    void firstReplyOfNewIncarnationEndsThePreviousOne() throws InterruptedException
     {
         platform.addLife(WORKER, (byte) 1, first);
         term = new TestTerm(platform, "box");
         accept();
-        assertThat(TestJobs.within(SOON_MILLIS, () -> first.isRunning(TASK))).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.isRunning(TASK))).isTrue();
         first.setSilent(true);
         platform.addLife(WORKER, (byte) 2, second);
-        assertThat(TestJobs.within(SOON_MILLIS, () -> second.isRunning(TASK))).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> second.isRunning(TASK))).isTrue();
         assertThat(second.begun()).containsExactly(TASK + "/2");
     }
 
-    /** The answer was on its way while the worker ended, started again and was listed. */
+    /** The reply is delayed until the next incarnation of the worker is listed. */
     @Test
-    void aLateAnswerOfALifeEndsNoLaterOne() throws InterruptedException
+    void lateReplyOfOldIncarnationDoesNotEndTheNewOne() throws InterruptedException
     {
-        first.holdLookAnswers(true);
+        first.delayHeartbeatReplies(true);
         platform.addLife(WORKER, (byte) 1, first);
         term = new TestTerm(platform, "box");
-        assertThat(TestJobs.within(SOON_MILLIS, () -> first.looks() == 1)).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.looks() == 1)).isTrue();
         platform.addLife(WORKER, (byte) 2, second);
         accept();
-        assertThat(TestJobs.within(SOON_MILLIS, () -> second.isRunning(TASK))).isTrue();
-        first.holdLookAnswers(false);
-        assertThat(TestJobs.within(SOON_MILLIS, () -> first.looks() > 1)).isTrue();
-        Thread.sleep(READ_MILLIS);
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> second.isRunning(TASK))).isTrue();
+        first.delayHeartbeatReplies(false);
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.looks() > 1)).isTrue();
+        Thread.sleep(LISTING_MILLIS);
         assertThat(second.isClosed()).isFalse();
         assertThat(second.begun()).containsExactly(TASK + "/1");
     }
 
     /**
-     * A start had no answer and its worker started again; the task ended well elsewhere. Carried out by
-     * the next life, which has the same id and the same fencing token, it would run once more. That
-     * life turns the first order away that bars the run.
+     * Guards against a second run after the task has ended elsewhere, if an unanswered start is
+     * delivered to the next incarnation. That incarnation refuses the first stop.
      */
     @Test
-    void aStartThatArrivesInTheNextLifeDoesNothing() throws InterruptedException
+    void rejectsStartThatArrivesAtTheNextIncarnation() throws InterruptedException
     {
         first.loseStarts(1);
         platform.addLife(WORKER, (byte) 1, first);
         term = new TestTerm(platform, "box");
         accept();
-        assertThat(TestJobs.within(SOON_MILLIS, () -> first.lostStart() != null)).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.lostStart() != null)).isTrue();
         first.endLife();
-        second.turnAwayStops(1);
+        second.refuseStops(1);
         FakeWorker other = platform.addWorker("w2");
-        platform.addLife(WORKER, (byte) 2, second, NO_ROOM);
-        assertThat(TestJobs.within(SOON_MILLIS, () -> other.isRunning(TASK))).isTrue();
+        platform.addLife(WORKER, (byte) 2, second, NO_CAPACITY);
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> other.isRunning(TASK))).isTrue();
         other.end(TASK, RunEnd.DONE);
-        assertThat(TestJobs.within(SOON_MILLIS, () -> second.looks() > 1)).isTrue();
-        assertThat(TestJobs.within(SOON_MILLIS, () -> second.stopped().contains(TASK))).isTrue();
-        assertThat(second.arrive(first.lostStart())).isEqualTo(CommandResult.OLD_RUN);
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> second.looks() > 1)).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> second.stopped().contains(TASK))).isTrue();
+        assertThat(second.deliver(first.lostStart())).isEqualTo(CommandResult.OLD_RUN);
         assertThat(second.begun()).isEmpty();
     }
 
     /**
-     * An owner of an earlier version recorded workers by their ids alone. The run may go on in the life
-     * that is there now, so nothing else of the task begins before its lease is surely over.
+     * Guards against restarting a task whose record holds only the worker id, as older versions wrote
+     * it, while its run may continue in the current incarnation.
      */
     @Test
-    void aRecordThatNamesNoLifeMayMeanTheOneThatAnswers() throws InterruptedException
+    void recordWithoutStartTimeMayMeanTheCurrentIncarnation() throws InterruptedException
     {
         JobProgress recorded = new JobProgress(TestJobs.QUEUE.name(), JobState.RUNNING,
                 List.of(new JobProgress.RoundProgress(List.of(new JobProgress.StepProgress(
@@ -123,8 +125,8 @@
         platform.addLife(WORKER, (byte) 1, first);
         FakeWorker other = platform.addWorker("w2");
         term = new TestTerm(platform, "box");
-        assertThat(TestJobs.within(SOON_MILLIS, () -> first.stopped().contains(TASK))).isTrue();
-        assertThat(TestJobs.within(SOON_MILLIS, () -> other.isRunning(TASK) || first.isRunning(TASK)))
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.stopped().contains(TASK))).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> other.isRunning(TASK) || first.isRunning(TASK)))
                 .isFalse();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/WorkerSessionsTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/WorkerSessionsTest.java
@@ -17,7 +17,7 @@
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
-/** Workers whose entries another writer spoils, and a job whose progress cannot be read. */
+/** Tests invalid worker entries and unreadable job progress. */
 @Execution(ExecutionMode.CONCURRENT)
 class WorkerSessionsTest
 {
@@ -25,9 +25,9 @@
     private static final String SECOND_JOB = "00000000000000a2";
     private static final String FIRST_TASK = FIRST_JOB + ".0.0.0";
     private static final String SECOND_TASK = SECOND_JOB + ".0.0.0";
-    private static final long SOON_MILLIS = 4_000;
-    /** Longer than it takes to read the list of workers twice. */
-    private static final long READ_MILLIS = 1_800;
+    private static final long TIMEOUT_MILLIS = 4_000;
+    /** Longer than two listings of the workers. */
+    private static final long LISTING_MILLIS = 1_800;
 
     private final FakePlatform platform = new FakePlatform();
     private FakeWorker worker;
@@ -51,39 +51,39 @@
     }
 
     @Test
-    void aWorkerWhoseEntryTurnsBadKeepsItsRunsAndGetsNothingNew() throws InterruptedException
+    void workerWithInvalidEntryKeepsItsRunsAndGetsNoStarts() throws InterruptedException
     {
         term = new TestTerm(platform, "box");
         accept(FIRST_JOB);
-        assertThat(TestJobs.within(SOON_MILLIS, () -> worker.isRunning(FIRST_TASK))).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.isRunning(FIRST_TASK))).isTrue();
         platform.spoil("w1");
-        Thread.sleep(READ_MILLIS);
+        Thread.sleep(LISTING_MILLIS);
         accept(SECOND_JOB);
-        assertThat(TestJobs.within(READ_MILLIS, () -> worker.isRunning(SECOND_TASK))).isFalse();
+        assertThat(TestJobs.within(LISTING_MILLIS, () -> worker.isRunning(SECOND_TASK))).isFalse();
         worker.end(FIRST_TASK, RunEnd.DONE);
-        assertThat(TestJobs.within(SOON_MILLIS, () -> worker.unnoted() == 0)).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.unnoted() == 0)).isTrue();
         platform.list("w1");
-        assertThat(TestJobs.within(SOON_MILLIS, () -> worker.isRunning(SECOND_TASK))).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.isRunning(SECOND_TASK))).isTrue();
     }
 
     @Test
-    void aBadEntryLeavesTheOtherWorkersAsTheyAre() throws InterruptedException
+    void invalidEntryDoesNotAffectOtherWorkers() throws InterruptedException
     {
         platform.spoil("w0");
         term = new TestTerm(platform, "box");
         accept(FIRST_JOB);
-        assertThat(TestJobs.within(SOON_MILLIS, () -> worker.isRunning(FIRST_TASK))).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.isRunning(FIRST_TASK))).isTrue();
     }
 
-    /** What of such a job runs is not known, so nothing of it is started; the others go on. */
+    /** The runs of such a job are unknown, so none of it is started; other jobs continue. */
     @Test
-    void aJobWhoseProgressCannotBeReadIsLeftAlone() throws InterruptedException
+    void doesNotStartJobWithUnreadableProgress() throws InterruptedException
     {
         accept(FIRST_JOB);
         accept(SECOND_JOB);
         platform.store().commit(new StoreTransaction().put(JobKeys.progress(FIRST_JOB), new byte[]{'{'}));
         term = new TestTerm(platform, "box");
-        assertThat(TestJobs.within(SOON_MILLIS, () -> worker.isRunning(SECOND_TASK))).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.isRunning(SECOND_TASK))).isTrue();
         assertThat(worker.isRunning(FIRST_TASK)).isFalse();
     }
 }
