--- a/gaugehollow/src/main/java/org/gaugehollow/job/Cancellation.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/Cancellation.java
@@ -42,10 +42,10 @@
     public static Cancellation read(byte[] value)
     {
         String text = new String(value, StandardCharsets.UTF_8);
-        int end = text.indexOf(SEPARATOR);
-        return end < 0
+        int separator = text.indexOf(SEPARATOR);
+        return separator < 0
                 ? new Cancellation(text)
-                : new Cancellation(text.substring(0, end), text.substring(end + 1));
+                : new Cancellation(text.substring(0, separator), text.substring(separator + 1));
     }
 
     /** @return the value that lies in the store */
--- a/gaugehollow/src/main/java/org/gaugehollow/job/CrashHistory.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/CrashHistory.java
@@ -59,11 +59,11 @@
      * @param evidence what is known now; it takes the place of what was known of that life before
      * @return the history with it
      */
-    public CrashHistory with(String worker, Attribution evidence)
+    public CrashHistory with(String worker, Attribution attribution)
     {
-        List<Crash> all = new ArrayList<>(without(worker).crashes());
-        all.add(new Crash(worker, evidence));
-        return new CrashHistory(all);
+        List<Crash> updated = new ArrayList<>(without(worker).crashes());
+        updated.add(new Crash(worker, attribution));
+        return new CrashHistory(updated);
     }
 
     /**
@@ -73,20 +73,20 @@
      */
     public CrashHistory withExplained(Set<String> workers)
     {
-        List<Crash> left = new ArrayList<>();
+        List<Crash> remaining = new ArrayList<>();
         for (Crash crash : crashes)
         {
             boolean isExplained = workers.contains(crash.worker());
             if (isExplained && crash.evidence() == Attribution.AT_START)
             {
-                left.add(new Crash(crash.worker(), Attribution.EXPLAINED));
+                remaining.add(new Crash(crash.worker(), Attribution.EXPLAINED));
             }
             else if (!isExplained || crash.evidence() == Attribution.EXPLAINED)
             {
-                left.add(crash);
+                remaining.add(crash);
             }
         }
-        return new CrashHistory(left);
+        return new CrashHistory(remaining);
     }
 
     /** @return the ids of the workers' lives that surely crashed under a run, for all that is known */
@@ -110,9 +110,9 @@
      * @param evidence a kind of evidence
      * @return how many lives of workers ended that way
      */
-    public int count(Attribution evidence)
+    public int count(Attribution attribution)
     {
-        return (int) crashes.stream().filter(crash -> crash.evidence() == evidence).count();
+        return (int) crashes.stream().filter(crash -> crash.evidence() == attribution).count();
     }
 
     /** @return whether there is nothing in it */
--- a/gaugehollow/src/main/java/org/gaugehollow/job/JobKeys.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/JobKeys.java
@@ -73,7 +73,7 @@
      */
     public static Optional<String> idOfJob(String key)
     {
-        return between(key, SPEC);
+        return extractId(key, SPEC);
     }
 
     /**
@@ -82,14 +82,14 @@
      */
     public static Optional<String> idOfCancel(String key)
     {
-        return between(key, CANCEL);
+        return extractId(key, CANCEL);
     }
 
-    private static Optional<String> between(String key, String end)
+    private static Optional<String> extractId(String key, String suffix)
     {
-        boolean matches = key.startsWith(JOBS) && key.endsWith(end);
+        boolean matches = key.startsWith(JOBS) && key.endsWith(suffix);
         return matches
-                ? Optional.of(key.substring(JOBS.length(), key.length() - end.length()))
+                ? Optional.of(key.substring(JOBS.length(), key.length() - suffix.length()))
                 : Optional.empty();
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/job/JobSpec.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/JobSpec.java
@@ -21,17 +21,17 @@
 public record JobSpec(String spec, List<StepSpec> steps, int repeatCount, long startAtMillis,
         long intervalMillis)
 {
-    private static final int MOST_STEPS = 256;
-    private static final int MOST_TASKS = 10_000;
-    private static final int MOST_REPETITIONS = 10_000;
+    private static final int MAX_STEPS = 256;
+    private static final int MAX_TASKS_PER_STEP = 10_000;
+    private static final int MAX_REPETITIONS = 10_000;
 
     /** Checks the shape of the job. */
     public JobSpec
     {
         check(spec != null, "spec: is required");
-        check(steps != null && !steps.isEmpty() && steps.size() <= MOST_STEPS, "steps: expected 1 to 256");
+        check(steps != null && !steps.isEmpty() && steps.size() <= MAX_STEPS, "steps: expected 1 to 256");
         steps = List.copyOf(steps);
-        check(repeatCount >= 0 && repeatCount <= MOST_REPETITIONS, "repeat count: expected 0 to 10000");
+        check(repeatCount >= 0 && repeatCount <= MAX_REPETITIONS, "repeat count: expected 0 to 10000");
         checkSteps(steps);
     }
 
@@ -40,7 +40,8 @@
         for (int i = 0; i < steps.size(); i++)
         {
             StepSpec step = steps.get(i);
-            check(step.count() >= 1 && step.count() <= MOST_TASKS, "steps: expected 1 to 10000 tasks");
+            check(step.count() >= 1 && step.count() <= MAX_TASKS_PER_STEP,
+                    "steps: expected 1 to 10000 tasks");
             check(step.cpu() >= 0 && step.memoryMib() >= 0 && step.accelerators() >= 0,
                     "steps: amounts must not be negative");
             for (int earlier : step.dependsOn())
@@ -50,9 +51,9 @@
         }
     }
 
-    private static void check(boolean holds, String message)
+    private static void check(boolean condition, String message)
     {
-        if (!holds)
+        if (!condition)
         {
             throw new GaugehollowException(ResultCode.BAD_REQUEST, message);
         }
--- a/gaugehollow/src/main/java/org/gaugehollow/job/QuotaCheck.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/QuotaCheck.java
@@ -25,20 +25,20 @@
     {
         for (StepSpec step : job.steps())
         {
-            int together = step.gang() ? step.count() : 1;
-            if (!fits(customer.quota(), step.needs(), together))
+            int concurrentTasks = step.gang() ? step.count() : 1;
+            if (!fits(customer.quota(), step.needs(), concurrentTasks))
             {
                 throw new GaugehollowException(ResultCode.QUOTA_TOO_SMALL,
-                        "a step needs " + together + " times " + step.needs() + " at the same time, "
+                        "a step needs " + concurrentTasks + " times " + step.needs() + " at the same time, "
                                 + customer.name() + " may have " + customer.quota());
             }
         }
     }
 
-    private static boolean fits(ComputeResources quota, ComputeResources needs, long tasks)
+    private static boolean fits(ComputeResources quota, ComputeResources needs, long concurrentTasks)
     {
-        return tasks * needs.cpuMillis() <= quota.cpuMillis()
-                && tasks * needs.memoryMib() <= quota.memoryMib()
-                && tasks * needs.accelerators() <= quota.accelerators();
+        return concurrentTasks * needs.cpuMillis() <= quota.cpuMillis()
+                && concurrentTasks * needs.memoryMib() <= quota.memoryMib()
+                && concurrentTasks * needs.accelerators() <= quota.accelerators();
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/EngineLimits.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/EngineLimits.java
@@ -17,18 +17,18 @@
  */
 public record EngineLimits(Map<TaskClass, Integer> waiting, int waitingInAll, double batchShare)
 {
-    private static final int DEFAULT_WAITING = 1_000;
-    private static final int DEFAULT_IN_ALL = 2_000;
+    private static final int DEFAULT_MAX_WAITING_PER_CLASS = 1_000;
+    private static final int DEFAULT_MAX_WAITING = 2_000;
     private static final double DEFAULT_BATCH_SHARE = 0.85;
 
     /** @return the limits that apply where the settings say nothing */
     public static EngineLimits defaults()
     {
-        return new EngineLimits(Map.of(), DEFAULT_IN_ALL, DEFAULT_BATCH_SHARE);
+        return new EngineLimits(Map.of(), DEFAULT_MAX_WAITING, DEFAULT_BATCH_SHARE);
     }
 
-    int waitingOf(TaskClass taskClass)
+    int maxWaiting(TaskClass taskClass)
     {
-        return waiting.getOrDefault(taskClass, DEFAULT_WAITING);
+        return waiting.getOrDefault(taskClass, DEFAULT_MAX_WAITING_PER_CLASS);
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/OwnedWorker.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/OwnedWorker.java
@@ -17,7 +17,7 @@
     private long epoch;
     private ComputeResources capacity = ComputeResources.NONE;
     private ComputeResources used = ComputeResources.NONE;
-    private ComputeResources foreign = ComputeResources.NONE;
+    private ComputeResources orphanUsage = ComputeResources.NONE;
     private boolean accepting;
 
     OwnedWorker(String id)
@@ -25,16 +25,16 @@
         this.id = id;
     }
 
-    void update(long newEpoch, ComputeResources newCapacity, ComputeResources newForeign,
+    void update(long newEpoch, ComputeResources newCapacity, ComputeResources newOrphanUsage,
             boolean newAccepting)
     {
         epoch = newEpoch;
         capacity = newCapacity;
-        foreign = newForeign;
+        orphanUsage = newOrphanUsage;
         accepting = newAccepting;
     }
 
-    void take(Placement placement)
+    void allocate(Placement placement)
     {
         running.put(placement.demand().task(), placement);
         used = used.plus(placement.demand().needs());
@@ -53,7 +53,7 @@
 
     ComputeResources free()
     {
-        return capacity.minusClamped(used).minusClamped(foreign);
+        return capacity.minusClamped(used).minusClamped(orphanUsage);
     }
 
     String id()
@@ -71,7 +71,7 @@
         return capacity;
     }
 
-    boolean accepting()
+    boolean isAccepting()
     {
         return accepting;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PackingFirstScore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PackingFirstScore.java
@@ -20,39 +20,42 @@
         double strandWeight) implements WorkerScore
 {
     /** What a task that uses an accelerator needs beside it, at the least. */
-    private static final int CPU_MILLIS_BESIDE = 4_000;
-    private static final int MEMORY_MIB_BESIDE = 8_192;
+    private static final int MIN_CPU_MILLIS_PER_ACCELERATOR = 4_000;
+    private static final int MIN_MEMORY_MIB_PER_ACCELERATOR = 8_192;
 
     @Override
     public double score(ComputeResources capacity, ComputeResources free, ComputeResources demand)
     {
-        double slots = rest(capacity.slots(), free.slots(), demand.slots());
-        double cpu = rest(capacity.cpuMillis(), free.cpuMillis(), demand.cpuMillis());
-        double memory = rest(capacity.memoryMib(), free.memoryMib(), demand.memoryMib());
-        double accelerators = rest(capacity.accelerators(), free.accelerators(), demand.accelerators());
-        double left = slots + cpu + memory + accelerators;
-        double uneven = Math.abs(cpu - memory) * balanceWeight;
+        double slots = remainingFraction(capacity.slots(), free.slots(), demand.slots());
+        double cpu = remainingFraction(capacity.cpuMillis(), free.cpuMillis(), demand.cpuMillis());
+        double memory = remainingFraction(capacity.memoryMib(), free.memoryMib(), demand.memoryMib());
+        double accelerators = remainingFraction(capacity.accelerators(), free.accelerators(),
+                demand.accelerators());
+        double remaining = slots + cpu + memory + accelerators;
+        double imbalancePenalty = Math.abs(cpu - memory) * balanceWeight;
         boolean reserved = demand.accelerators() == 0 && free.accelerators() > 0;
-        return left + uneven + (reserved ? acceleratorReserve : 0) + strandWeight * strandedBy(free, demand);
+        return remaining + imbalancePenalty + (reserved ? acceleratorReserve : 0)
+                + strandWeight * additionalStranded(free, demand);
     }
 
     /** How many more accelerators would be stranded with the task than are without it. */
-    private static int strandedBy(ComputeResources free, ComputeResources demand)
+    private static int additionalStranded(ComputeResources free, ComputeResources demand)
     {
         if (free.accelerators() == 0)
         {
             return 0;
         }
-        return stranded(free.minus(demand)) - stranded(free);
+        return strandedAccelerators(free.minus(demand)) - strandedAccelerators(free);
     }
 
-    private static int stranded(ComputeResources free)
+    private static int strandedAccelerators(ComputeResources free)
     {
-        int usable = Math.min(free.cpuMillis() / CPU_MILLIS_BESIDE, free.memoryMib() / MEMORY_MIB_BESIDE);
-        return Math.max(0, free.accelerators() - usable);
+        int usableAccelerators = Math.min(free.cpuMillis() / MIN_CPU_MILLIS_PER_ACCELERATOR,
+                free.memoryMib() / MIN_MEMORY_MIB_PER_ACCELERATOR);
+        return Math.max(0, free.accelerators() - usableAccelerators);
     }
 
-    private static double rest(int capacity, int free, int demand)
+    private static double remainingFraction(int capacity, int free, int demand)
     {
         return capacity == 0 ? 0 : (free - demand) / (double) capacity;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PlacementEngine.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PlacementEngine.java
@@ -31,13 +31,13 @@
     private final WorkerIndex index = new WorkerIndex();
     private final WaitingQueue queue = new WaitingQueue();
     private final Map<String, Integer> runningByTeam = new HashMap<>();
-    private final ServiceRate rate = new ServiceRate();
+    private final ServiceRate serviceRate = new ServiceRate();
     private final EngineLimits limits;
     private final LongSupplier nanoTime;
     private PolicyAssignments policies;
-    private int batchSlots;
+    private int usedBatchSlots;
     private int totalSlots;
-    private long sequence;
+    private long nextSequence;
 
     /**
      * @param limits queue limits and shares
@@ -57,13 +57,13 @@
      *
      * @param book the new policies
      */
-    public void usePolicies(PolicyAssignments book)
+    public void usePolicies(PolicyAssignments newPolicies)
     {
         lock.lock();
         try
         {
-            policies = book;
-            serveWaiting();
+            policies = newPolicies;
+            placeWaitingTasks();
         }
         finally
         {
@@ -80,7 +80,7 @@
      * @param foreign what still runs there that this box did not start
      * @param accepting whether it may get new work
      */
-    public void putWorker(String worker, long epoch, ComputeResources capacity, ComputeResources foreign,
+    public void putWorker(String worker, long epoch, ComputeResources capacity, ComputeResources orphanUsage,
             boolean accepting)
     {
         lock.lock();
@@ -88,9 +88,9 @@
         {
             OwnedWorker owned = workers.computeIfAbsent(worker, OwnedWorker::new);
             totalSlots += capacity.slots() - owned.capacity().slots();
-            owned.update(epoch, capacity, foreign, accepting);
-            reindex(owned);
-            serveWaiting();
+            owned.update(epoch, capacity, orphanUsage, accepting);
+            updateIndex(owned);
+            placeWaitingTasks();
         }
         finally
         {
@@ -110,11 +110,11 @@
         try
         {
             OwnedWorker owned = workers.get(worker);
-            if (owned != null && owned.accepting() != accepting)
+            if (owned != null && owned.isAccepting() != accepting)
             {
                 owned.setAccepting(accepting);
-                reindex(owned);
-                serveWaiting();
+                updateIndex(owned);
+                placeWaitingTasks();
             }
         }
         finally
@@ -154,7 +154,7 @@
         lock.lock();
         try
         {
-            return decide(demand, 0);
+            return allocate(demand, 0);
         }
         finally
         {
@@ -171,16 +171,16 @@
      * @throws InterruptedException if the process stops
      * @throws GaugehollowException with {@code NO_ROOM}, {@code QUEUE_FULL} or {@code PREEMPTED}
      */
-    public Placement place(TaskDemand demand, long untilNanos) throws InterruptedException
+    public Placement place(TaskDemand demand, long timeoutAtNanos) throws InterruptedException
     {
         Waiter waiter;
         lock.lock();
         try
         {
-            Optional<Placement> now = decide(demand, 0);
-            if (now.isPresent())
+            Optional<Placement> placement = allocate(demand, 0);
+            if (placement.isPresent())
             {
-                return now.get();
+                return placement.get();
             }
             waiter = enqueue(demand);
         }
@@ -188,7 +188,7 @@
         {
             lock.unlock();
         }
-        return await(waiter, untilNanos);
+        return awaitDecision(waiter, timeoutAtNanos);
     }
 
     /**
@@ -205,18 +205,18 @@
             runningByTeam.computeIfPresent(demand.team(), (team, count) -> count > 1 ? count - 1 : null);
             if (demand.taskClass() == TaskClass.BATCH)
             {
-                batchSlots -= demand.needs().slots();
+                usedBatchSlots -= demand.needs().slots();
             }
             OwnedWorker owned = workers.get(placement.worker());
             if (owned != null && owned.release(placement))
             {
-                reindex(owned);
+                updateIndex(owned);
             }
-            rate.released(nanoTime.getAsLong());
-            serveWaiting();
+            serviceRate.onRelease(nanoTime.getAsLong());
+            placeWaitingTasks();
             if (queue.size() == 0)
             {
-                rate.waitingEnded();
+                serviceRate.onQueueEmpty();
             }
         }
         finally
@@ -258,20 +258,20 @@
         }
     }
 
-    private Placement await(Waiter waiter, long untilNanos) throws InterruptedException
+    private Placement awaitDecision(Waiter waiter, long timeoutAtNanos) throws InterruptedException
     {
         try
         {
-            long wait = Math.max(0, untilNanos - nanoTime.getAsLong());
-            return waiter.decision().get(wait, TimeUnit.NANOSECONDS);
+            long remainingNanos = Math.max(0, timeoutAtNanos - nanoTime.getAsLong());
+            return waiter.decision().get(remainingNanos, TimeUnit.NANOSECONDS);
         }
         catch (TimeoutException e)
         {
-            return withdraw(waiter);
+            return resolveTimeout(waiter);
         }
         catch (InterruptedException e)
         {
-            giveBack(waiter);
+            cancel(waiter);
             throw e;
         }
         catch (ExecutionException | CancellationException e)
@@ -281,7 +281,7 @@
         }
     }
 
-    private Placement withdraw(Waiter waiter)
+    private Placement resolveTimeout(Waiter waiter)
     {
         lock.lock();
         try
@@ -302,7 +302,7 @@
         return waiter.decision().join();
     }
 
-    private void giveBack(Waiter waiter)
+    private void cancel(Waiter waiter)
     {
         lock.lock();
         try
@@ -320,22 +320,22 @@
 
     private Waiter enqueue(TaskDemand demand)
     {
-        long now = nanoTime.getAsLong();
-        if (queue.size(demand.taskClass()) >= limits.waitingOf(demand.taskClass()))
+        long nowNanos = nanoTime.getAsLong();
+        if (queue.size(demand.taskClass()) >= limits.maxWaiting(demand.taskClass()))
         {
             throw new GaugehollowException(ResultCode.QUEUE_FULL,
                     "too many " + demand.taskClass().label() + " tasks wait already");
         }
-        refuseIfHopeless(demand, now);
+        rejectIfTooLate(demand, nowNanos);
         if (queue.size() >= limits.waitingInAll())
         {
-            shedFor(demand);
+            shedLessUrgentThan(demand);
         }
         if (queue.size() == 0)
         {
-            rate.waitingBegan(now);
+            serviceRate.onQueueNonEmpty(nowNanos);
         }
-        Waiter waiter = new Waiter(demand, now, sequence++);
+        Waiter waiter = new Waiter(demand, nowNanos, nextSequence++);
         queue.add(waiter);
         return waiter;
     }
@@ -344,70 +344,70 @@
      * A task whose turn would come after its caller has gone is refused at once, and told when to come
      * back.
      */
-    private void refuseIfHopeless(TaskDemand demand, long now)
+    private void rejectIfTooLate(TaskDemand demand, long nowNanos)
     {
-        long expected = rate.estimateNanos(queue.sizeUpTo(demand.taskClass()));
-        if (expected > demand.deadlineNanos() - now)
+        long expectedWaitNanos = serviceRate.estimateWaitNanos(queue.sizeAtLeastAsUrgent(demand.taskClass()));
+        if (expectedWaitNanos > demand.deadlineNanos() - nowNanos)
         {
             throw new GaugehollowException(ResultCode.QUEUE_FULL, "its turn would come too late, in about "
-                    + TimeUnit.NANOSECONDS.toMillis(expected) + " ms");
+                    + TimeUnit.NANOSECONDS.toMillis(expectedWaitNanos) + " ms");
         }
     }
 
-    private void shedFor(TaskDemand demand)
+    private void shedLessUrgentThan(TaskDemand demand)
     {
-        Waiter shed = queue.leastUrgentBelow(demand.taskClass()).orElseThrow(
+        Waiter victim = queue.leastUrgentBelow(demand.taskClass()).orElseThrow(
                 () -> new GaugehollowException(ResultCode.QUEUE_FULL, "too many tasks wait already"));
-        queue.remove(shed);
-        shed.decision().cancel(false);
+        queue.remove(victim);
+        victim.decision().cancel(false);
     }
 
-    private void serveWaiting()
+    private void placeWaitingTasks()
     {
-        boolean placedOne = true;
-        while (placedOne && queue.size() > 0)
+        boolean placedAny = true;
+        while (placedAny && queue.size() > 0)
         {
-            placedOne = false;
+            placedAny = false;
             for (Waiter waiter : queue.heads())
             {
-                Optional<Placement> placement = decide(waiter.demand(), waiter.since());
+                Optional<Placement> placement = allocate(waiter.demand(), waiter.waitingSinceNanos());
                 if (placement.isPresent())
                 {
-                    queue.removeServed(waiter);
+                    queue.removePlaced(waiter);
                     waiter.decision().complete(placement.get());
-                    placedOne = true;
+                    placedAny = true;
                     break;
                 }
             }
         }
     }
 
-    private Optional<Placement> decide(TaskDemand demand, long waitingSince)
+    private Optional<Placement> allocate(TaskDemand demand, long waitingSinceNanos)
     {
-        if (!withinShares(demand))
+        if (!isWithinLimits(demand))
         {
             return Optional.empty();
         }
         PolicyAssignments.Named policy = policies.policyFor(demand.taskClass(), demand.task());
-        Optional<String> chosen = policy.policy().choose(index, demand.needs());
-        if (chosen.isEmpty())
+        Optional<String> chosenWorker = policy.policy().choose(index, demand.needs());
+        if (chosenWorker.isEmpty())
         {
             return Optional.empty();
         }
-        OwnedWorker owned = workers.get(chosen.get());
-        long waited = waitingSince == 0 ? 0 : nanoTime.getAsLong() - waitingSince;
-        Placement placement = new Placement(demand, owned.id(), owned.epoch(), policy.name(), waited);
-        owned.take(placement);
+        OwnedWorker owned = workers.get(chosenWorker.get());
+        long waitedNanos = waitingSinceNanos == 0 ? 0 : nanoTime.getAsLong() - waitingSinceNanos;
+        Placement placement = new Placement(demand, owned.id(), owned.epoch(), policy.name(), waitedNanos);
+        owned.allocate(placement);
         runningByTeam.merge(demand.team(), 1, Integer::sum);
         if (demand.taskClass() == TaskClass.BATCH)
         {
-            batchSlots += demand.needs().slots();
+            usedBatchSlots += demand.needs().slots();
         }
-        reindex(owned);
+        updateIndex(owned);
         return Optional.of(placement);
     }
 
-    private boolean withinShares(TaskDemand demand)
+    private boolean isWithinLimits(TaskDemand demand)
     {
         int running = runningByTeam.getOrDefault(demand.team(), 0);
         if (demand.teamLimit() > 0 && running >= demand.teamLimit())
@@ -418,12 +418,12 @@
         {
             return true;
         }
-        return batchSlots + demand.needs().slots() <= totalSlots * limits.batchShare();
+        return usedBatchSlots + demand.needs().slots() <= totalSlots * limits.batchShare();
     }
 
-    private void reindex(OwnedWorker owned)
+    private void updateIndex(OwnedWorker owned)
     {
-        if (owned.accepting())
+        if (owned.isAccepting())
         {
             index.put(owned.id(), owned.capacity(), owned.free());
         }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PolicyAssignments.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PolicyAssignments.java
@@ -39,21 +39,22 @@
     {
     }
 
-    private final Map<TaskClass, Named> governing;
-    private final Map<TaskClass, Split> splits;
+    private final Map<TaskClass, Named> policiesByClass;
+    private final Map<TaskClass, Split> splitsByClass;
     private final Named fallback;
 
     /**
-     * @param governing the policy of each class that has one
-     * @param splits the comparison of each class that has one
+     * @param policiesByClass the policy of each class that has one
+     * @param splitsByClass the comparison of each class that has one
      * @param fallback the policy of all other classes
      */
-    public PolicyAssignments(Map<TaskClass, Named> governing, Map<TaskClass, Split> splits, Named fallback)
+    public PolicyAssignments(Map<TaskClass, Named> policiesByClass, Map<TaskClass, Split> splitsByClass,
+            Named fallback)
     {
-        this.governing = new EnumMap<>(TaskClass.class);
-        this.governing.putAll(governing);
-        this.splits = new EnumMap<>(TaskClass.class);
-        this.splits.putAll(splits);
+        this.policiesByClass = new EnumMap<>(TaskClass.class);
+        this.policiesByClass.putAll(policiesByClass);
+        this.splitsByClass = new EnumMap<>(TaskClass.class);
+        this.splitsByClass.putAll(splitsByClass);
         this.fallback = fallback;
     }
 
@@ -66,10 +67,10 @@
      */
     public Named policyFor(TaskClass taskClass, String task)
     {
-        Split split = splits.get(taskClass);
+        Split split = splitsByClass.get(taskClass);
         if (split == null)
         {
-            return governing.getOrDefault(taskClass, fallback);
+            return policiesByClass.getOrDefault(taskClass, fallback);
         }
         long bucket = Long.remainderUnsigned(KeySlots.hash(split.comparison + '/' + task), PERCENT);
         return bucket < split.secondPercent ? split.second : split.first;
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PolicyRegistry.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PolicyRegistry.java
@@ -20,30 +20,32 @@
     public static final String WAITING_FIRST = "waiting-first";
     /** The policy for work whose packing counts most. */
     public static final String PACKING_FIRST = "packing-first";
-    private static final String RESERVE = "acceleratorReserve";
-    private static final String BALANCE = "balanceWeight";
-    private static final String STRAND = "strandWeight";
+    private static final String ACCELERATOR_RESERVE = "acceleratorReserve";
+    private static final String BALANCE_WEIGHT = "balanceWeight";
+    private static final String STRAND_WEIGHT = "strandWeight";
     private static final String SEED = "seed";
-    private static final double DEFAULT_WAITING_RESERVE = 0.25;
-    private static final double DEFAULT_PACKING_RESERVE = 10;
-    private static final double DEFAULT_BALANCE = 1;
-    private static final double DEFAULT_STRAND = 100;
-    private static final double LARGEST_PARAMETER = 1_000_000;
+    private static final double DEFAULT_WAITING_ACCELERATOR_RESERVE = 0.25;
+    private static final double DEFAULT_PACKING_ACCELERATOR_RESERVE = 10;
+    private static final double DEFAULT_BALANCE_WEIGHT = 1;
+    private static final double DEFAULT_STRAND_WEIGHT = 100;
+    private static final double MAX_PARAMETER_VALUE = 1_000_000;
 
-    private record Entry(List<String> parameters, Function<Map<String, Double>, PlacementPolicy> factory)
+    private record PolicyType(List<String> parameters, Function<Map<String, Double>, PlacementPolicy> factory)
     {
     }
 
-    private final Map<String, Entry> entries = new TreeMap<>();
+    private final Map<String, PolicyType> policyTypes = new TreeMap<>();
 
     /** Registers the policies of this library. */
     public PolicyRegistry()
     {
-        register(WAITING_FIRST, List.of(RESERVE), p -> new ScoredPolicy(
-                new WaitingFirstScore(p.getOrDefault(RESERVE, DEFAULT_WAITING_RESERVE))));
-        register(PACKING_FIRST, List.of(RESERVE, BALANCE, STRAND),
-                p -> new ScoredPolicy(new PackingFirstScore(p.getOrDefault(RESERVE, DEFAULT_PACKING_RESERVE),
-                        p.getOrDefault(BALANCE, DEFAULT_BALANCE), p.getOrDefault(STRAND, DEFAULT_STRAND))));
+        register(WAITING_FIRST, List.of(ACCELERATOR_RESERVE), p -> new ScoredPolicy(new WaitingFirstScore(
+                p.getOrDefault(ACCELERATOR_RESERVE, DEFAULT_WAITING_ACCELERATOR_RESERVE))));
+        register(PACKING_FIRST, List.of(ACCELERATOR_RESERVE, BALANCE_WEIGHT, STRAND_WEIGHT),
+                p -> new ScoredPolicy(new PackingFirstScore(
+                        p.getOrDefault(ACCELERATOR_RESERVE, DEFAULT_PACKING_ACCELERATOR_RESERVE),
+                        p.getOrDefault(BALANCE_WEIGHT, DEFAULT_BALANCE_WEIGHT),
+                        p.getOrDefault(STRAND_WEIGHT, DEFAULT_STRAND_WEIGHT))));
         register("random", List.of(SEED), p -> new RandomPolicy(p.getOrDefault(SEED, 1.0).longValue()));
         register("round-robin", List.of(), p -> new RoundRobinPolicy());
         register("first-fit", List.of(),
@@ -62,7 +64,7 @@
     public void register(String type, List<String> parameters,
             Function<Map<String, Double>, PlacementPolicy> factory)
     {
-        entries.put(type, new Entry(List.copyOf(parameters), factory));
+        policyTypes.put(type, new PolicyType(List.copyOf(parameters), factory));
     }
 
     /**
@@ -75,24 +77,24 @@
      */
     public PlacementPolicy create(PolicySpec spec)
     {
-        Entry entry = entries.get(spec.type());
-        if (entry == null)
+        PolicyType policyType = policyTypes.get(spec.type());
+        if (policyType == null)
         {
-            throw invalid("type: expected one of " + String.join(", ", entries.keySet()));
+            throw invalid("type: expected one of " + String.join(", ", policyTypes.keySet()));
         }
         for (Map.Entry<String, Double> parameter : spec.parameters().entrySet())
         {
-            if (!entry.parameters.contains(parameter.getKey()))
+            if (!policyType.parameters.contains(parameter.getKey()))
             {
-                throw invalid("parameters: " + spec.type() + " understands " + entry.parameters);
+                throw invalid("parameters: " + spec.type() + " understands " + policyType.parameters);
             }
             double value = parameter.getValue();
-            if (!(value >= 0 && value <= LARGEST_PARAMETER))
+            if (!(value >= 0 && value <= MAX_PARAMETER_VALUE))
             {
-                throw invalid("parameters." + parameter.getKey() + ": expected 0 to " + LARGEST_PARAMETER);
+                throw invalid("parameters." + parameter.getKey() + ": expected 0 to " + MAX_PARAMETER_VALUE);
             }
         }
-        return entry.factory.apply(spec.parameters());
+        return policyType.factory.apply(spec.parameters());
     }
 
     private static GaugehollowException invalid(String message)
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/RandomPolicy.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/RandomPolicy.java
@@ -28,10 +28,10 @@
     @Override
     public Optional<String> choose(WorkerIndex index, ComputeResources demand)
     {
-        List<String> fitting = index.workers().entrySet().stream()
+        List<String> candidates = index.workers().entrySet().stream()
                 .filter(e -> e.getValue().free().fits(demand)).map(Map.Entry::getKey).toList();
-        return fitting.isEmpty()
+        return candidates.isEmpty()
                 ? Optional.empty()
-                : Optional.of(fitting.get(random.nextInt(fitting.size())));
+                : Optional.of(candidates.get(random.nextInt(candidates.size())));
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/RoundRobinPolicy.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/RoundRobinPolicy.java
@@ -13,15 +13,15 @@
 /** A baseline: the next worker with room after the one taken last. */
 public final class RoundRobinPolicy implements PlacementPolicy
 {
-    private String last = "";
+    private String lastWorker = "";
 
     @Override
     public Optional<String> choose(WorkerIndex index, ComputeResources demand)
     {
         NavigableMap<String, WorkerIndex.State> workers = index.workers();
-        Optional<String> found = firstFit(workers.tailMap(last, false), demand)
-                .or(() -> firstFit(workers.headMap(last, true), demand));
-        found.ifPresent(worker -> last = worker);
+        Optional<String> found = firstFit(workers.tailMap(lastWorker, false), demand)
+                .or(() -> firstFit(workers.headMap(lastWorker, true), demand));
+        found.ifPresent(worker -> lastWorker = worker);
         return found;
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/ScoredPolicy.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/ScoredPolicy.java
@@ -32,16 +32,16 @@
             {
                 continue;
             }
-            double rated = score.score(state.capacity(), state.free(), demand);
-            if (best == null || rated < bestScore)
+            double candidateScore = score.score(state.capacity(), state.free(), demand);
+            if (best == null || candidateScore < bestScore)
             {
-                bestScore = rated;
-                best = index.firstOf(state);
+                bestScore = candidateScore;
+                best = index.firstWorkerIn(state);
             }
-            else if (rated == bestScore)
+            else if (candidateScore == bestScore)
             {
-                String other = index.firstOf(state);
-                best = other.compareTo(best) < 0 ? other : best;
+                String candidate = index.firstWorkerIn(state);
+                best = candidate.compareTo(best) < 0 ? candidate : best;
             }
         }
         return Optional.ofNullable(best);
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/ServiceRate.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/ServiceRate.java
@@ -10,43 +10,45 @@
  */
 final class ServiceRate
 {
-    private static final double NEWEST_SHARE = 0.05;
+    private static final double SMOOTHING_FACTOR = 0.05;
 
-    private double meanNanos;
-    private long lastAt;
-    private boolean counting;
+    private double meanIntervalNanos;
+    private long lastReleaseNanos;
+    private boolean tasksWaiting;
 
     /**
      * The first task begins to wait: only from here on do the times between releases say how fast the
      * cell is.
      */
-    void waitingBegan(long now)
+    void onQueueNonEmpty(long nowNanos)
     {
-        counting = true;
-        lastAt = now;
+        tasksWaiting = true;
+        lastReleaseNanos = nowNanos;
     }
 
     /** No task waits any more. */
-    void waitingEnded()
+    void onQueueEmpty()
     {
-        counting = false;
+        tasksWaiting = false;
     }
 
     /** A task ended, and with it a place became free. */
-    void released(long now)
+    void onRelease(long nowNanos)
     {
-        if (!counting)
+        if (!tasksWaiting)
         {
             return;
         }
-        double gap = now - lastAt;
-        meanNanos = meanNanos == 0 ? gap : meanNanos + (gap - meanNanos) * NEWEST_SHARE;
-        lastAt = now;
+        double intervalNanos = nowNanos - lastReleaseNanos;
+        meanIntervalNanos = meanIntervalNanos == 0
+                ? intervalNanos
+                : meanIntervalNanos + (intervalNanos - meanIntervalNanos) * SMOOTHING_FACTOR;
+        lastReleaseNanos = nowNanos;
     }
 
     /** How long a task waits behind so many others, 0 while nothing is known. */
-    long estimateNanos(int ahead)
+    long estimateWaitNanos(int tasksAhead)
     {
-        return (long) (meanNanos * ahead);
+        return (long) (meanIntervalNanos * tasksAhead);
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/Waiter.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/Waiter.java
@@ -10,14 +10,14 @@
 final class Waiter
 {
     private final TaskDemand demand;
-    private final long since;
+    private final long waitingSinceNanos;
     private final long sequence;
     private final CompletableFuture<Placement> decision = new CompletableFuture<>();
 
-    Waiter(TaskDemand demand, long since, long sequence)
+    Waiter(TaskDemand demand, long waitingSinceNanos, long sequence)
     {
         this.demand = demand;
-        this.since = since;
+        this.waitingSinceNanos = waitingSinceNanos;
         this.sequence = sequence;
     }
 
@@ -26,9 +26,9 @@
         return demand;
     }
 
-    long since()
+    long waitingSinceNanos()
     {
-        return since;
+        return waitingSinceNanos;
     }
 
     CompletableFuture<Placement> decision()
@@ -37,7 +37,7 @@
     }
 
     /** Earliest deadline first, then first come. */
-    static int byDeadline(Waiter a, Waiter b)
+    static int compareByDeadline(Waiter a, Waiter b)
     {
         int order = Long.compare(a.demand.deadlineNanos() - b.demand.deadlineNanos(), 0);
         return order != 0 ? order : Long.compare(a.sequence, b.sequence);
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/WaitingFirstScore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/WaitingFirstScore.java
@@ -18,15 +18,15 @@
     @Override
     public double score(ComputeResources capacity, ComputeResources free, ComputeResources demand)
     {
-        double slots = used(capacity.slots(), free.slots(), demand.slots());
-        double cpu = used(capacity.cpuMillis(), free.cpuMillis(), demand.cpuMillis());
-        double memory = used(capacity.memoryMib(), free.memoryMib(), demand.memoryMib());
+        double slots = usedFraction(capacity.slots(), free.slots(), demand.slots());
+        double cpu = usedFraction(capacity.cpuMillis(), free.cpuMillis(), demand.cpuMillis());
+        double memory = usedFraction(capacity.memoryMib(), free.memoryMib(), demand.memoryMib());
         double load = Math.max(slots, Math.max(cpu, memory));
         boolean reserved = demand.accelerators() == 0 && free.accelerators() > 0;
         return reserved ? load + acceleratorReserve : load;
     }
 
-    private static double used(int capacity, int free, int demand)
+    private static double usedFraction(int capacity, int free, int demand)
     {
         return capacity == 0 ? 0 : (capacity - free + demand) / (double) capacity;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/WaitingQueue.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/WaitingQueue.java
@@ -23,28 +23,29 @@
 final class WaitingQueue
 {
     /** The waiting tasks of one team in one class, and how much of its share the team has had. */
-    private static final class TeamLine
+    private static final class TeamQueue
     {
-        private final TreeSet<Waiter> waiters = new TreeSet<>(Waiter::byDeadline);
-        private double served;
+        private final TreeSet<Waiter> waiters = new TreeSet<>(Waiter::compareByDeadline);
+        private double virtualTime;
     }
 
-    private final Map<TaskClass, Map<String, TeamLine>> lines = new EnumMap<>(TaskClass.class);
-    private final Map<TaskClass, Double> served = new EnumMap<>(TaskClass.class);
+    private final Map<TaskClass, Map<String, TeamQueue>> teamQueues = new EnumMap<>(TaskClass.class);
+    private final Map<TaskClass, Double> virtualTimes = new EnumMap<>(TaskClass.class);
     private int size;
 
     void add(Waiter waiter)
     {
         TaskDemand demand = waiter.demand();
-        Map<String, TeamLine> teams = lines.computeIfAbsent(demand.taskClass(), c -> new HashMap<>());
-        TeamLine line = teams.get(demand.team());
-        if (line == null)
+        Map<String, TeamQueue> queuesByTeam = teamQueues.computeIfAbsent(demand.taskClass(),
+                c -> new HashMap<>());
+        TeamQueue teamQueue = queuesByTeam.get(demand.team());
+        if (teamQueue == null)
         {
-            line = new TeamLine();
-            line.served = served.getOrDefault(demand.taskClass(), 0.0);
-            teams.put(demand.team(), line);
+            teamQueue = new TeamQueue();
+            teamQueue.virtualTime = virtualTimes.getOrDefault(demand.taskClass(), 0.0);
+            queuesByTeam.put(demand.team(), teamQueue);
         }
-        if (line.waiters.add(waiter))
+        if (teamQueue.waiters.add(waiter))
         {
             size++;
         }
@@ -52,27 +53,27 @@
 
     boolean remove(Waiter waiter)
     {
-        Map<String, TeamLine> teams = lines.getOrDefault(waiter.demand().taskClass(), Map.of());
-        TeamLine line = teams.get(waiter.demand().team());
-        if (line == null || !line.waiters.remove(waiter))
+        Map<String, TeamQueue> queuesByTeam = teamQueues.getOrDefault(waiter.demand().taskClass(), Map.of());
+        TeamQueue teamQueue = queuesByTeam.get(waiter.demand().team());
+        if (teamQueue == null || !teamQueue.waiters.remove(waiter))
         {
             return false;
         }
         size--;
-        if (line.waiters.isEmpty())
+        if (teamQueue.waiters.isEmpty())
         {
-            teams.remove(waiter.demand().team());
+            queuesByTeam.remove(waiter.demand().team());
         }
         return true;
     }
 
     /** Takes a waiter out because it is placed, and charges its team's share. */
-    void removeServed(Waiter waiter)
+    void removePlaced(Waiter waiter)
     {
         TaskDemand demand = waiter.demand();
-        TeamLine line = lines.get(demand.taskClass()).get(demand.team());
-        line.served += 1.0 / demand.teamWeight();
-        served.merge(demand.taskClass(), line.served, Math::max);
+        TeamQueue teamQueue = teamQueues.get(demand.taskClass()).get(demand.team());
+        teamQueue.virtualTime += 1.0 / demand.teamWeight();
+        virtualTimes.merge(demand.taskClass(), teamQueue.virtualTime, Math::max);
         remove(waiter);
     }
 
@@ -83,17 +84,17 @@
 
     int size(TaskClass taskClass)
     {
-        return lines.getOrDefault(taskClass, Map.of()).values().stream().mapToInt(l -> l.waiters.size())
-                .sum();
+        return teamQueues.getOrDefault(taskClass, Map.of()).values().stream()
+                .mapToInt(teamQueue -> teamQueue.waiters.size()).sum();
     }
 
     /** How many tasks of this class and of more urgent ones wait. */
-    int sizeUpTo(TaskClass taskClass)
+    int sizeAtLeastAsUrgent(TaskClass taskClass)
     {
         int sum = 0;
-        for (TaskClass each : TaskClass.values())
+        for (TaskClass candidate : TaskClass.values())
         {
-            sum += each.ordinal() <= taskClass.ordinal() ? size(each) : 0;
+            sum += candidate.ordinal() <= taskClass.ordinal() ? size(candidate) : 0;
         }
         return sum;
     }
@@ -104,10 +105,10 @@
         List<Waiter> heads = new ArrayList<>();
         for (TaskClass taskClass : TaskClass.values())
         {
-            lines.getOrDefault(taskClass, Map.of()).values().stream()
-                    .sorted(Comparator.<TeamLine>comparingDouble(l -> l.served)
-                            .thenComparing(l -> l.waiters.first(), Waiter::byDeadline))
-                    .forEach(line -> heads.add(line.waiters.first()));
+            teamQueues.getOrDefault(taskClass, Map.of()).values().stream()
+                    .sorted(Comparator.<TeamQueue>comparingDouble(teamQueue -> teamQueue.virtualTime)
+                            .thenComparing(teamQueue -> teamQueue.waiters.first(), Waiter::compareByDeadline))
+                    .forEach(teamQueue -> heads.add(teamQueue.waiters.first()));
         }
         return heads;
     }
@@ -121,8 +122,8 @@
         TaskClass[] classes = TaskClass.values();
         for (int i = classes.length - 1; i > taskClass.ordinal(); i--)
         {
-            Optional<Waiter> last = lines.getOrDefault(classes[i], Map.of()).values().stream()
-                    .map(line -> line.waiters.last()).max(Waiter::byDeadline);
+            Optional<Waiter> last = teamQueues.getOrDefault(classes[i], Map.of()).values().stream()
+                    .map(teamQueue -> teamQueue.waiters.last()).max(Waiter::compareByDeadline);
             if (last.isPresent())
             {
                 return last;
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/WorkerIndex.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/WorkerIndex.java
@@ -76,7 +76,7 @@
      * @param state a state of {@link #states}
      * @return the first worker in that state, by id
      */
-    public String firstOf(State state)
+    public String firstWorkerIn(State state)
     {
         return byState.get(state).first();
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/job/CrashHistoryTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/job/CrashHistoryTest.java
@@ -19,7 +19,7 @@
             .with("w2", Attribution.UNPROVEN).with("w3", Attribution.LATER).with("w4", Attribution.AT_START);
 
     @Test
-    void whatIsKnownLaterTakesThePlaceOfWhatWasKnownBefore()
+    void newAttributionReplacesPreviousOne()
     {
         CrashHistory newer = history.with("w2", Attribution.AT_START);
         assertThat(newer.crashes()).hasSize(4);
@@ -28,7 +28,7 @@
     }
 
     @Test
-    void ofExplainedCrashesOnlyThoseRightAfterAStartStillCount()
+    void explainingKeepsOnlyCrashesAtStart()
     {
         CrashHistory explained = history.withExplained(Set.of("w1", "w2", "w3"));
         assertThat(explained.crashes()).containsExactly(new Crash("w1", Attribution.EXPLAINED),
@@ -37,13 +37,13 @@
     }
 
     @Test
-    void onlyCrashesUnderARunAreProven()
+    void provenContainsOnlyCrashesDuringARun()
     {
         assertThat(history.proven()).containsExactly("w1", "w3", "w4");
     }
 
     @Test
-    void aWorkerThatLivesHasNotCrashed()
+    void withoutRemovesTheWorker()
     {
         assertThat(history.without("w2").crashes()).hasSize(3);
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/job/JobCodecTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/job/JobCodecTest.java
@@ -26,13 +26,13 @@
             new JobSpec("text", List.of(STEP, LATER_STEP), 0, 0, 0), 1_700_000_000_000L);
 
     @Test
-    void aRecordComesBackAsItWas()
+    void recordSurvivesRoundTrip()
     {
         assertThat(JobCodec.readRecord(JobCodec.writeRecord(RECORD))).isEqualTo(RECORD);
     }
 
     @Test
-    void theRecordOfAJobThatIsOverNamesItsQueueAndLittleElse()
+    void tombstoneKeepsOnlyIdAndQueueName()
     {
         byte[] written = JobCodec.writeRecord(RECORD.toTombstone());
         JobRecord read = JobCodec.readRecord(written);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void progressComesBackAsItWasAndLeavesOutWhatIsNotThere()
+    void progressSurvivesRoundTripWithoutDefaultValues()
     {
         JobProgress progress = new JobProgress("urgent", JobState.RUNNING,
                 List.of(new RoundProgress(
--- a/gaugehollow/src/test/java/org/gaugehollow/job/QuotaCheckTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/job/QuotaCheckTest.java
@@ -28,29 +28,29 @@
         return new JobSpec("text", List.of(step), 0, 0, 0);
     }
 
-    private static void assertRefused(JobSpec job)
+    private static void assertRejected(JobSpec job)
     {
         assertThat(assertThrows(GaugehollowException.class, () -> QuotaCheck.check(job, NORTH)).code())
                 .isEqualTo(ResultCode.QUOTA_TOO_SMALL);
     }
 
     @Test
-    void aTaskOrAWholeGangOverTheQuotaIsRefused()
+    void taskOrGangOverQuotaIsRejected()
     {
-        assertRefused(job(1, 10_001, 0, false));
-        assertRefused(job(1, 1, 3, false));
-        assertRefused(job(5, 2_001, 0, true));
+        assertRejected(job(1, 10_001, 0, false));
+        assertRejected(job(1, 1, 3, false));
+        assertRejected(job(5, 2_001, 0, true));
     }
 
     @Test
-    void aGangThatOverflowsSmallNumbersIsRefused()
+    void gangWhoseTotalOverflowsIntIsRejected()
     {
-        assertRefused(job(10_000, 1 << 20, 0, true));
+        assertRejected(job(10_000, 1 << 20, 0, true));
     }
 
     /** A wide step runs in waves. */
     @Test
-    void whatFitsOneAfterTheOtherIsAccepted()
+    void wideStepWithinQuotaPerTaskIsAccepted()
     {
         assertDoesNotThrow(() -> QuotaCheck.check(job(500, 2_001, 1, false), NORTH));
         assertDoesNotThrow(() -> QuotaCheck.check(job(5, 2_000, 0, true), NORTH));
--- a/gaugehollow/src/test/java/org/gaugehollow/placement/IndexDifferentialTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/placement/IndexDifferentialTest.java
@@ -25,72 +25,72 @@
 class IndexDifferentialTest
 {
     /** One thing that happens to a cell. */
-    record Step(int kind, int worker, ComputeResources amounts)
+    record Operation(int action, int worker, ComputeResources resources)
     {
     }
 
     @Provide
-    Arbitrary<List<Step>> histories()
+    Arbitrary<List<Operation>> histories()
     {
-        Arbitrary<ComputeResources> amounts = Combinators
+        Arbitrary<ComputeResources> resources = Combinators
                 .combine(Arbitraries.integers().between(1, 3), Arbitraries.integers().between(0, 4),
                         Arbitraries.integers().between(0, 4), Arbitraries.integers().between(0, 1))
                 .as((slots, cpu, memory, accelerators) -> new ComputeResources(slots, cpu * 1000,
                         memory * 2048, accelerators));
-        return Combinators
-                .combine(Arbitraries.integers().between(0, 9), Arbitraries.integers().between(0, 14), amounts)
-                .as(Step::new).list().ofMinSize(20).ofMaxSize(200);
+        return Combinators.combine(Arbitraries.integers().between(0, 9),
+                Arbitraries.integers().between(0, 14), resources).as(Operation::new).list().ofMinSize(20)
+                .ofMaxSize(200);
     }
 
     @Property(tries = 300, seed = "4711")
-    void waitingFirst(@ForAll("histories") List<Step> history)
+    void waitingFirst(@ForAll("histories") List<Operation> history)
     {
         replay(history, new WaitingFirstScore(0.25));
     }
 
     @Property(tries = 300, seed = "4712")
-    void packingFirst(@ForAll("histories") List<Step> history)
+    void packingFirst(@ForAll("histories") List<Operation> history)
     {
         replay(history, new PackingFirstScore(10, 1, 100));
     }
 
-    private static void replay(List<Step> history, WorkerScore score)
+    private static void replay(List<Operation> steps, WorkerScore score)
     {
         WorkerIndex index = new WorkerIndex();
         NaivePlacement naive = new NaivePlacement(score);
         ScoredPolicy policy = new ScoredPolicy(score);
         Map<String, ComputeResources> free = new HashMap<>();
         List<Map.Entry<String, ComputeResources>> running = new ArrayList<>();
-        for (Step step : history)
+        for (Operation operation : steps)
         {
-            String id = "w" + step.worker;
-            if (step.kind == 0)
+            String id = "w" + operation.worker;
+            if (operation.action == 0)
             {
                 index.remove(id);
                 naive.remove(id);
                 free.remove(id);
                 running.removeIf(task -> task.getKey().equals(id));
             }
-            else if (step.kind <= 2)
+            else if (operation.action <= 2)
             {
                 free.putIfAbsent(id, capacityOf(id));
                 put(index, naive, id, free.get(id));
             }
-            else if (step.kind == 3 && !running.isEmpty())
+            else if (operation.action == 3 && !running.isEmpty())
             {
-                Map.Entry<String, ComputeResources> ended = running.remove(step.worker % running.size());
+                Map.Entry<String, ComputeResources> ended = running.remove(operation.worker % running.size());
                 free.merge(ended.getKey(), ended.getValue(), ComputeResources::plus);
                 put(index, naive, ended.getKey(), free.get(ended.getKey()));
             }
             else
             {
-                Optional<String> chosen = policy.choose(index, step.amounts);
-                assertThat(chosen).isEqualTo(naive.choose(step.amounts));
+                Optional<String> chosen = policy.choose(index, operation.resources);
+                assertThat(chosen).isEqualTo(naive.choose(operation.resources));
                 chosen.ifPresent(worker ->
                 {
-                    free.computeIfPresent(worker, (w, f) -> f.minus(step.amounts));
+                    free.computeIfPresent(worker, (w, f) -> f.minus(operation.resources));
                     put(index, naive, worker, free.get(worker));
-                    running.add(Map.entry(worker, step.amounts));
+                    running.add(Map.entry(worker, operation.resources));
                 });
             }
         }
--- a/gaugehollow/src/test/java/org/gaugehollow/placement/NaivePlacement.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/placement/NaivePlacement.java
@@ -40,11 +40,11 @@
             WorkerIndex.State state = worker.getValue();
             if (state.free().fits(demand))
             {
-                double rated = score.score(state.capacity(), state.free(), demand);
-                if (best == null || rated < bestScore)
+                double candidateScore = score.score(state.capacity(), state.free(), demand);
+                if (best == null || candidateScore < bestScore)
                 {
                     best = worker.getKey();
-                    bestScore = rated;
+                    bestScore = candidateScore;
                 }
             }
         }
--- a/gaugehollow/src/test/java/org/gaugehollow/placement/PlacementEngineTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/placement/PlacementEngineTest.java
@@ -31,20 +31,20 @@
     private static final ComputeResources WORKER = new ComputeResources(4, 4_000, 8_192, 0);
     private final PolicyRegistry registry = new PolicyRegistry();
     private PlacementEngine engine;
-    private int tasks;
+    private int taskCount;
 
     @BeforeEach
-    void start()
+    void createEngine()
     {
-        engine = engine(EngineLimits.defaults());
+        engine = newEngine(EngineLimits.defaults());
     }
 
-    private PlacementEngine engine(EngineLimits limits)
+    private PlacementEngine newEngine(EngineLimits limits)
     {
-        return new PlacementEngine(limits, book("waiting-first"), SteadyClock::nanos);
+        return new PlacementEngine(limits, assignments("waiting-first"), SteadyClock::nanos);
     }
 
-    private PolicyAssignments book(String type)
+    private PolicyAssignments assignments(String type)
     {
         PlacementPolicy policy = registry.create(new PolicySpec(type, null, null));
         return new PolicyAssignments(Map.of(), Map.of(), new PolicyAssignments.Named(type, policy));
@@ -52,8 +52,8 @@
 
     private TaskDemand demand(TaskClass taskClass, String team, int weight, int limit)
     {
-        tasks++;
-        return new TaskDemand("t" + tasks, taskClass, team, weight, limit, ONE_SLOT, inSeconds(30));
+        taskCount++;
+        return new TaskDemand("t" + taskCount, taskClass, team, weight, limit, ONE_SLOT, inSeconds(30));
     }
 
     private static long inSeconds(int seconds)
@@ -62,10 +62,10 @@
     }
 
     /** Starts to place a task and returns when the task waits or is decided. */
-    private CompletableFuture<Placement> placeLater(TaskDemand demand) throws InterruptedException
+    private CompletableFuture<Placement> placeAsync(TaskDemand demand) throws InterruptedException
     {
         CompletableFuture<Placement> result = new CompletableFuture<>();
-        Thread placing = Thread.startVirtualThread(() ->
+        Thread thread = Thread.startVirtualThread(() ->
         {
             try
             {
@@ -76,7 +76,7 @@
                 result.completeExceptionally(e);
             }
         });
-        while (placing.getState() != Thread.State.TIMED_WAITING && !result.isDone())
+        while (thread.getState() != Thread.State.TIMED_WAITING && !result.isDone())
         {
             Thread.sleep(1);
         }
@@ -84,7 +84,7 @@
     }
 
     @Test
-    void neverMoreThanAWorkerHolds()
+    void placesNoMoreThanTheFreeCapacityOfAWorker()
     {
         engine.putWorker("w1", 1, WORKER, new ComputeResources(1, 0, 0, 0), true);
         List<Placement> placed = new ArrayList<>();
@@ -100,7 +100,7 @@
     }
 
     @Test
-    void aReleaseAfterAChangeOfOwnerFreesNothingTwice()
+    void releaseAfterOwnershipChangeFreesNothing()
     {
         engine.putWorker("w1", 1, WORKER, ComputeResources.NONE, true);
         Placement old = engine.tryPlace(demand(TaskClass.URGENT, "a", 1, 0)).orElseThrow();
@@ -112,12 +112,12 @@
     }
 
     @Test
-    void urgentWorkGoesBeforeBookingsAndThoseBeforeBatch() throws Exception
+    void urgentTaskIsPlacedBeforeEarlierBookingTask() throws Exception
     {
         engine.putWorker("w1", 1, ONE_SLOT, ComputeResources.NONE, true);
         Placement running = engine.tryPlace(demand(TaskClass.URGENT, "a", 1, 0)).orElseThrow();
-        CompletableFuture<Placement> booking = placeLater(demand(TaskClass.BOOKING, "a", 1, 0));
-        CompletableFuture<Placement> urgent = placeLater(demand(TaskClass.URGENT, "a", 1, 0));
+        CompletableFuture<Placement> booking = placeAsync(demand(TaskClass.BOOKING, "a", 1, 0));
+        CompletableFuture<Placement> urgent = placeAsync(demand(TaskClass.URGENT, "a", 1, 0));
         engine.release(running);
         Placement first = urgent.get(10, TimeUnit.SECONDS);
         assertThat(booking.isDone()).isFalse();
@@ -126,40 +126,40 @@
     }
 
     @Test
-    void teamsShareByWeightAndNoneStarves() throws Exception
+    void waitingTeamsAreServedByWeight() throws Exception
     {
         engine.putWorker("w1", 1, ONE_SLOT, ComputeResources.NONE, true);
         Placement running = engine.tryPlace(demand(TaskClass.BOOKING, "z", 1, 0)).orElseThrow();
         List<CompletableFuture<Placement>> waiting = new ArrayList<>();
         for (int i = 0; i < 30; i++)
         {
-            waiting.add(placeLater(demand(TaskClass.BOOKING, "heavy", 3, 0)));
+            waiting.add(placeAsync(demand(TaskClass.BOOKING, "heavy", 3, 0)));
         }
         for (int i = 0; i < 10; i++)
         {
-            waiting.add(placeLater(demand(TaskClass.BOOKING, "light", 1, 0)));
+            waiting.add(placeAsync(demand(TaskClass.BOOKING, "light", 1, 0)));
         }
-        int heavy = 0;
+        int heavyPlacements = 0;
         for (int i = 0; i < 20; i++)
         {
             engine.release(running);
-            running = nextDone(waiting);
-            heavy += "heavy".equals(running.demand().team()) ? 1 : 0;
+            running = removeNextDone(waiting);
+            heavyPlacements += "heavy".equals(running.demand().team()) ? 1 : 0;
         }
-        assertThat(heavy).isAtLeast(13);
-        assertThat(heavy).isAtMost(17);
+        assertThat(heavyPlacements).isAtLeast(13);
+        assertThat(heavyPlacements).isAtMost(17);
     }
 
-    private static Placement nextDone(List<CompletableFuture<Placement>> waiting) throws Exception
+    private static Placement removeNextDone(List<CompletableFuture<Placement>> waiting) throws Exception
     {
         while (true)
         {
-            for (CompletableFuture<Placement> each : waiting)
+            for (CompletableFuture<Placement> future : waiting)
             {
-                if (each.isDone())
+                if (future.isDone())
                 {
-                    waiting.remove(each);
-                    return each.get();
+                    waiting.remove(future);
+                    return future.get();
                 }
             }
             Thread.sleep(1);
@@ -167,7 +167,7 @@
     }
 
     @Test
-    void batchLeavesRoomForUrgentWork()
+    void batchTasksLeaveCapacityForUrgentTasks()
     {
         for (int i = 0; i < 5; i++)
         {
@@ -183,7 +183,7 @@
     }
 
     @Test
-    void aTeamGetsNoMoreThanItsQuota()
+    void teamLimitCapsRunningTasks()
     {
         engine.putWorker("w1", 1, WORKER, ComputeResources.NONE, true);
         assertThat(engine.tryPlace(demand(TaskClass.BOOKING, "a", 1, 2))).isPresent();
@@ -193,34 +193,34 @@
     }
 
     @Test
-    void aFullQueueShedsTheLeastUrgentFirst() throws Exception
+    void fullQueueShedsLeastUrgentTask() throws Exception
     {
-        engine = engine(new EngineLimits(Map.of(), 2, 1));
-        CompletableFuture<Placement> batch = placeLater(demand(TaskClass.BATCH, "a", 1, 0));
-        CompletableFuture<Placement> booking = placeLater(demand(TaskClass.BOOKING, "a", 1, 0));
-        CompletableFuture<Placement> urgent = placeLater(demand(TaskClass.URGENT, "a", 1, 0));
-        Exception shed = assertThrows(Exception.class, () -> batch.get(10, TimeUnit.SECONDS));
-        assertThat(((GaugehollowException) shed.getCause()).code()).isEqualTo(ResultCode.PREEMPTED);
-        GaugehollowException full = assertThrows(GaugehollowException.class,
+        engine = newEngine(new EngineLimits(Map.of(), 2, 1));
+        CompletableFuture<Placement> batch = placeAsync(demand(TaskClass.BATCH, "a", 1, 0));
+        CompletableFuture<Placement> booking = placeAsync(demand(TaskClass.BOOKING, "a", 1, 0));
+        CompletableFuture<Placement> urgent = placeAsync(demand(TaskClass.URGENT, "a", 1, 0));
+        Exception shedFailure = assertThrows(Exception.class, () -> batch.get(10, TimeUnit.SECONDS));
+        assertThat(((GaugehollowException) shedFailure.getCause()).code()).isEqualTo(ResultCode.PREEMPTED);
+        GaugehollowException rejection = assertThrows(GaugehollowException.class,
                 () -> engine.place(demand(TaskClass.BATCH, "a", 1, 0), inSeconds(30)));
-        assertThat(full.code()).isEqualTo(ResultCode.QUEUE_FULL);
+        assertThat(rejection.code()).isEqualTo(ResultCode.QUEUE_FULL);
         assertThat(booking.isDone() || urgent.isDone()).isFalse();
     }
 
     @Test
-    void aSwapOfPoliciesLosesAndReordersNothing() throws Exception
+    void policyChangeKeepsWaitingTasksAndTheirOrder() throws Exception
     {
         engine.putWorker("w1", 1, ONE_SLOT, ComputeResources.NONE, true);
         Placement running = engine.tryPlace(demand(TaskClass.BOOKING, "a", 1, 0)).orElseThrow();
         List<CompletableFuture<Placement>> waiting = new ArrayList<>();
         for (int i = 0; i < 20; i++)
         {
-            waiting.add(placeLater(demand(TaskClass.BOOKING, "a", 1, 0)));
+            waiting.add(placeAsync(demand(TaskClass.BOOKING, "a", 1, 0)));
         }
         String[] types = {"packing-first", "round-robin", "waiting-first", "random"};
         for (int i = 0; i < 20; i++)
         {
-            engine.usePolicies(book(types[i % types.length]));
+            engine.usePolicies(assignments(types[i % types.length]));
             assertThat(waiting.get(i).isDone()).isFalse();
             engine.release(running);
             running = waiting.get(i).get(10, TimeUnit.SECONDS);
@@ -229,40 +229,40 @@
     }
 
     @Test
-    void aTaskThatFindsNoRoomInTimeSaysSo()
+    void placeTimesOutWithNoRoom()
     {
-        GaugehollowException none = assertThrows(GaugehollowException.class,
+        GaugehollowException timeout = assertThrows(GaugehollowException.class,
                 () -> engine.place(demand(TaskClass.URGENT, "a", 1, 0), SteadyClock.nanos() + 1_000_000));
-        assertThat(none.code()).isEqualTo(ResultCode.NO_ROOM);
+        assertThat(timeout.code()).isEqualTo(ResultCode.NO_ROOM);
         assertThat(engine.waiting()).isEqualTo(0);
     }
 
     @Test
-    void aTaskWhoseTurnWouldComeTooLateIsRefusedAtOnce() throws Exception
+    void taskWithUnreachableDeadlineIsRejectedImmediately() throws Exception
     {
         AtomicLong clock = new AtomicLong(1);
-        engine = new PlacementEngine(EngineLimits.defaults(), book("waiting-first"), clock::get);
+        engine = new PlacementEngine(EngineLimits.defaults(), assignments("waiting-first"), clock::get);
         engine.putWorker("w1", 1, ONE_SLOT, ComputeResources.NONE, true);
         Placement running = engine.tryPlace(demand(TaskClass.BOOKING, "a", 1, 0)).orElseThrow();
         List<CompletableFuture<Placement>> waiting = new ArrayList<>();
         for (int i = 0; i < 5; i++)
         {
-            waiting.add(placeLater(demand(TaskClass.BOOKING, "a", 1, 0)));
+            waiting.add(placeAsync(demand(TaskClass.BOOKING, "a", 1, 0)));
         }
         clock.addAndGet(TimeUnit.SECONDS.toNanos(1));
         engine.release(running);
         running = waiting.getFirst().get(10, TimeUnit.SECONDS);
-        TaskDemand hasTime = new TaskDemand("t-long", TaskClass.BOOKING, "a", 1, 0, ONE_SLOT,
+        TaskDemand reachable = new TaskDemand("t-long", TaskClass.BOOKING, "a", 1, 0, ONE_SLOT,
                 clock.get() + TimeUnit.SECONDS.toNanos(5));
-        TaskDemand hasNoTime = new TaskDemand("t-short", TaskClass.BOOKING, "a", 1, 0, ONE_SLOT,
+        TaskDemand unreachable = new TaskDemand("t-short", TaskClass.BOOKING, "a", 1, 0, ONE_SLOT,
                 clock.get() + TimeUnit.SECONDS.toNanos(3));
         TaskDemand urgent = new TaskDemand("t-urgent", TaskClass.URGENT, "a", 1, 0, ONE_SLOT,
                 clock.get() + TimeUnit.SECONDS.toNanos(3));
-        GaugehollowException refused = assertThrows(GaugehollowException.class,
-                () -> engine.place(hasNoTime, hasNoTime.deadlineNanos()));
-        assertThat(refused.code()).isEqualTo(ResultCode.QUEUE_FULL);
-        assertThat(placeLater(hasTime).isDone()).isFalse();
-        assertThat(placeLater(urgent).isDone()).isFalse();
+        GaugehollowException rejection = assertThrows(GaugehollowException.class,
+                () -> engine.place(unreachable, unreachable.deadlineNanos()));
+        assertThat(rejection.code()).isEqualTo(ResultCode.QUEUE_FULL);
+        assertThat(placeAsync(reachable).isDone()).isFalse();
+        assertThat(placeAsync(urgent).isDone()).isFalse();
         assertThat(running.worker()).isEqualTo("w1");
     }
 }
