--- a/gaugehollow/src/main/java/org/gaugehollow/job/AdviceSpec.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/AdviceSpec.java
@@ -5,17 +5,17 @@
 package org.gaugehollow.job;
 
 /**
- * How long the advice service takes for a queue, and how long its tickets are valid.
+ * Response times of the advice service for a queue and the validity of its tickets.
  *
- * @param decideMillis fixed time of one call, in milliseconds
- * @param workerMillis time for each worker named in a call, in milliseconds
- * @param validMillis how long a ticket is valid, in milliseconds
+ * @param decideMillis fixed part of a call's duration, in milliseconds
+ * @param workerMillis part of a call's duration for each worker in it, in milliseconds
+ * @param validMillis validity of a ticket, in milliseconds
  */
 public record AdviceSpec(double decideMillis, double workerMillis, long validMillis)
 {
     /**
-     * @param workers how many workers a call names
-     * @return the expected time of that call, in milliseconds
+     * @param workers the number of workers in a call
+     * @return the expected duration of the call, in milliseconds
      */
     public double expectedMillis(int workers)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/job/Cancellation.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/Cancellation.java
@@ -7,28 +7,28 @@
 import java.nio.charset.StandardCharsets;
 
 /**
- * A job's cancellation, as it lies in the store: the queue's name and, in a line after it, the
- * customer's if there is one. It may lie there before the job's record does, so it names both: the
- * same id in another queue, or of another customer, is another caller's job.
+ * Stored cancellation of a job: the queue's name and, on a second line, the customer's name if
+ * there is one. It may be stored before the job's record, so it names both: a job with the same id
+ * in another queue or of another customer must not be cancelled.
  *
- * @param queue the name of the queue whose caller cancelled, or {@link #ANY_QUEUE}
- * @param customer the name of the customer that cancelled; null where callers need no key
+ * @param queue the name of the queue through which the job was cancelled, or {@link #ANY_QUEUE}
+ * @param customer the name of the customer that cancelled the job; null if callers need no key
  */
 public record Cancellation(String queue, String customer)
 {
-    /** The value of cancellations that were written only where the job's record was there. */
+    /** Stored value of older cancellations, which were written only after the job's record. */
     private static final String ANY_QUEUE = "1";
     private static final char SEPARATOR = '\n';
 
-    /** A cancellation by a caller that needs no key; see the components. */
+    /** Creates a cancellation by a caller without a key. */
     public Cancellation(String queue)
     {
         this(queue, null);
     }
 
     /**
-     * @param scope the scope of the caller who cancels
-     * @return its cancellation
+     * @param scope the caller's scope
+     * @return a cancellation by that caller
      */
     public static Cancellation of(JobScope scope)
     {
@@ -36,7 +36,7 @@
     }
 
     /**
-     * @param value a value from the store
+     * @param value the stored value
      * @return the cancellation
      */
     public static Cancellation read(byte[] value)
@@ -48,7 +48,7 @@
                 : new Cancellation(text.substring(0, separator), text.substring(separator + 1));
     }
 
-    /** @return the value that lies in the store */
+    /** @return the value to store */
     public byte[] write()
     {
         String text = customer == null ? queue : queue + SEPARATOR + customer;
@@ -57,7 +57,7 @@
 
     /**
      * @param job an accepted job
-     * @return whether it cancels that job
+     * @return whether this cancels the job
      */
     public boolean appliesTo(JobRecord job)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/job/CellConfig.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/CellConfig.java
@@ -12,10 +12,10 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** One version of the operators' configuration of a cell. */
+/** One version of a cell's configuration. */
 public final class CellConfig
 {
-    /** Before the first version is known. */
+    /** The configuration used until the first version is known. */
     public static final CellConfig NONE = new CellConfig(0, List.of());
 
     private final long version;
@@ -25,16 +25,16 @@
     private final Customers customers;
 
     /**
-     * How callers name a queue.
+     * Maps requests to a queue by host and path prefix.
      *
-     * @param host the host that a request names
-     * @param pathPrefix the start of the path
-     * @param queue the queue that it leads to
+     * @param host the host of the request
+     * @param pathPrefix the prefix of the request's path
+     * @param queue the queue
      * @param isPublic whether callers need no key
      */
     public record QueueRoute(String host, String pathPrefix, QueueSpec queue, boolean isPublic)
     {
-        /** A route of a configuration without customers; see the components. */
+        /** Creates a route of a configuration without customers. */
         public QueueRoute(String host, String pathPrefix, QueueSpec queue)
         {
             this(host, pathPrefix, queue, false);
@@ -42,8 +42,8 @@
     }
 
     /**
-     * @param version rises with each change; 0 for none
-     * @param routes all routes of this version
+     * @param version the version, which increases with each change; 0 for none
+     * @param routes the routes
      */
     public CellConfig(long version, List<QueueRoute> routes)
     {
@@ -51,10 +51,10 @@
     }
 
     /**
-     * @param version rises with each change; 0 for none
-     * @param routes all routes of this version
-     * @param services the services that it names beside those that queues lead to
-     * @param customers who shares the cell
+     * @param version the version, which increases with each change; 0 for none
+     * @param routes the routes
+     * @param services the names of services in addition to those of the queues
+     * @param customers the customers of the cell
      */
     public CellConfig(long version, List<QueueRoute> routes, Collection<String> services, Customers customers)
     {
@@ -68,14 +68,14 @@
 
     /**
      * @param service a service's name
-     * @return whether this version names it; true for all while no version is known
+     * @return whether this version contains the service; always true until a version is known
      */
     public boolean mayHaveService(String service)
     {
         return version == 0 || services.contains(service);
     }
 
-    /** @return who shares the cell */
+    /** @return the customers of the cell */
     public Customers customers()
     {
         return customers;
@@ -89,7 +89,7 @@
 
     /**
      * @param name a queue's name
-     * @return the queue, if this version has it
+     * @return the queue, if it exists in this version
      */
     public Optional<QueueSpec> queue(String name)
     {
@@ -97,11 +97,11 @@
     }
 
     /**
-     * Finds the route with the longest prefix that a request's path starts with.
+     * Finds the route of the host with the longest prefix that matches the path.
      *
-     * @param host the host that the request names, without a port
+     * @param host the request's host, without a port
      * @param path the request's path
-     * @return the route, if there is one
+     * @return the route, if one matches
      */
     public Optional<QueueRoute> route(String host, String path)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/job/CrashHistory.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/CrashHistory.java
@@ -12,52 +12,54 @@
 import com.fasterxml.jackson.annotation.JsonIgnore;
 
 /**
- * The workers that crashed, or may have, while they had a run of one task. It lies in the store
- * with the task's progress, so that what one owner has learnt holds for the next.
+ * The workers that crashed, or may have crashed, while they had a run of a task. Stored with the
+ * task's progress, so that it survives a change of owner.
  *
- * @param crashes one entry for each life of a worker, in the order in which they were noticed
+ * @param crashes one entry for each worker incarnation, in the order of detection
  */
 public record CrashHistory(List<Crash> crashes)
 {
-    /** No worker has crashed under the task. */
+    /** The empty history. */
     public static final CrashHistory NONE = new CrashHistory(List.of());
 
-    /** What a crash says of the task. */
+    /** How far a worker crash is attributed to the task. */
     public enum Attribution
     {
-        /** The worker crashed right after it had started the run. */
+        /** The worker crashed right after it started the run. */
         AT_START,
-        /** The worker crashed after the run had been at work for a while. */
+        /** The worker crashed after the run had been active for some time. */
         LATER,
         /**
-         * The worker fell silent right after the start, or crashed before it was known to have the run: it
-         * may not have crashed, or not under the task.
+         * The worker became unresponsive right after the start, or crashed before it was known to have the
+         * run. It may not have crashed, or not because of the task.
          */
         UNPROVEN,
-        /** Another task was given up for the crash. */
+        /** The crash was attributed to another task, which failed as poison. */
         EXPLAINED
     }
 
     /**
-     * The end of one life of a worker.
+     * The crash of one worker incarnation.
      *
-     * @param worker its id
-     * @param evidence what is known of it
+     * @param worker the id of the incarnation
+     * @param evidence how far the crash is attributed to the task
      */
     public record Crash(String worker, Attribution evidence)
     {
     }
 
-    /** Takes a copy of the list. */
+    /** Copies the list; null is read as empty. */
     public CrashHistory
     {
         crashes = crashes == null ? List.of() : List.copyOf(crashes);
     }
 
     /**
-     * @param worker the id of a worker's life
-     * @param evidence what is known now; it takes the place of what was known of that life before
-     * @return the history with it
+     * Adds a crash, or replaces the recorded crash of the same incarnation.
+     *
+     * @param worker the id of a worker incarnation
+     * @param attribution how far the crash is attributed to the task
+     * @return the updated history
      */
     public CrashHistory with(String worker, Attribution attribution)
     {
@@ -67,9 +69,11 @@
     }
 
     /**
-     * @param workers the ids of workers' lives for whose crashes another task was given up
-     * @return the history in which their crashes are explained; only those right after a start still
-     *         count
+     * Marks the given workers' crashes right after a start as explained and drops their other crashes,
+     * except those explained before.
+     *
+     * @param workers the ids of the worker incarnations whose crashes were attributed to another task
+     * @return the updated history
      */
     public CrashHistory withExplained(Set<String> workers)
     {
@@ -89,7 +93,7 @@
         return new CrashHistory(remaining);
     }
 
-    /** @return the ids of the workers' lives that surely crashed under a run, for all that is known */
+    /** @return the ids of the worker incarnations that are known to have crashed during a run */
     public Set<String> proven()
     {
         return crashes.stream().filter(
@@ -98,8 +102,10 @@
     }
 
     /**
-     * @param worker the id of a worker's life that has turned out not to have crashed
-     * @return the history without it
+     * Removes a worker incarnation that turned out not to have crashed.
+     *
+     * @param worker the id of the incarnation
+     * @return the updated history
      */
     public CrashHistory without(String worker)
     {
@@ -107,15 +113,15 @@
     }
 
     /**
-     * @param evidence a kind of evidence
-     * @return how many lives of workers ended that way
+     * @param attribution an attribution
+     * @return the number of crashes with that attribution
      */
     public int count(Attribution attribution)
     {
         return (int) crashes.stream().filter(crash -> crash.evidence() == attribution).count();
     }
 
-    /** @return whether there is nothing in it */
+    /** @return whether there are no crashes */
     @JsonIgnore
     public boolean isEmpty()
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/job/Customer.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/Customer.java
@@ -7,20 +7,19 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * One of those who share a cell. Its keys are kept apart, so that they stand in no text that is
- * made of a customer.
+ * A customer of a cell. Holds no keys, so that they don't appear in {@link #toString}.
  *
  * @param name the customer's name
- * @param weight its share once the cell is full; also how many of its jobs a second come before
- *            those that others send beyond their own weight
- * @param quota what it may have running on all workers together; an amount that is not limited is
- *            {@link #NO_LIMIT}
+ * @param weight the customer's weight for sharing a full cell; also the rate of its jobs, per
+ *            second, that take precedence over jobs that other customers submit beyond their weight
+ * @param quota maximum resources of the customer's running tasks on all workers; unlimited
+ *            components are {@link #NO_LIMIT}
  */
 public record Customer(String name, double weight, ComputeResources quota)
 {
-    /** An amount of a quota that is not limited. */
+    /** Value of a quota component that is not limited. */
     public static final int NO_LIMIT = Integer.MAX_VALUE;
-    /** A quota that limits nothing. */
+    /** A quota without limits. */
     public static final ComputeResources UNLIMITED = new ComputeResources(NO_LIMIT, NO_LIMIT, NO_LIMIT,
             NO_LIMIT);
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/job/Customers.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/Customers.java
@@ -12,10 +12,10 @@
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.ResultCode;
 
-/** The customers of a version of the configuration, by name and by key. */
+/** The customers in one version of the configuration, by name and by key. */
 public final class Customers
 {
-    /** A configuration without customers: whoever reaches a box may use it. */
+    /** No customers: callers need no keys. */
     public static final Customers NONE = new Customers(false, List.of());
 
     private final boolean keysRequired;
@@ -23,14 +23,14 @@
     private final Map<String, Customer> byKey = new HashMap<>();
 
     /**
-     * A customer as the operator declares it.
+     * A customer with its keys.
      *
      * @param customer the customer
-     * @param keys its callers' keys
+     * @param keys the keys of the customer's callers
      */
     public record Declared(Customer customer, List<String> keys)
     {
-        /** @return the customer's name; keys stand in no text */
+        /** @return the customer's name and the number of its keys, without the keys */
         @Override
         public String toString()
         {
@@ -45,9 +45,9 @@
     }
 
     /**
-     * @param declared all customers; if there are none, no caller has a key and none is let in
+     * @param declared all customers; if empty, no caller has a valid key
      * @return the customers
-     * @throws GaugehollowException {@code STORE_BAD_ANSWER} if a name or a key stands twice
+     * @throws GaugehollowException {@code STORE_BAD_ANSWER} if two customers have the same name or key
      */
     public static Customers of(List<Declared> declared)
     {
@@ -60,7 +60,7 @@
         if (byName.put(customer.name(), customer) != null)
         {
             throw new GaugehollowException(ResultCode.STORE_BAD_ANSWER,
-                    "customer " + customer.name() + " stands twice");
+                    "customer " + customer.name() + " is declared twice");
         }
         for (String key : declared.keys())
         {
@@ -68,12 +68,12 @@
             if (other != null && other != customer)
             {
                 throw new GaugehollowException(ResultCode.STORE_BAD_ANSWER,
-                        customer.name() + " and " + other.name() + " have the same key");
+                        "customers " + customer.name() + " and " + other.name() + " have the same key");
             }
         }
     }
 
-    /** @return whether callers need a key on queues that are not public */
+    /** @return whether callers need a key for queues that are not public */
     public boolean keysRequired()
     {
         return keysRequired;
@@ -81,7 +81,7 @@
 
     /**
      * @param key a caller's key
-     * @return whose key it is, if it is in force
+     * @return the customer that the key belongs to, if the key is valid
      */
     public Optional<Customer> ofKey(String key)
     {
@@ -90,7 +90,7 @@
 
     /**
      * @param name a customer's name; null for none
-     * @return the customer, if this version has it
+     * @return the customer, if it exists in this version
      */
     public Optional<Customer> named(String name)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/job/JobCodec.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/JobCodec.java
@@ -13,8 +13,8 @@
 import com.fasterxml.jackson.databind.ObjectMapper;
 
 /**
- * Reads and writes what lies in the store for a job. What has its default value is left out: a new
- * owner reads all of it before it can work, also over a slow link.
+ * Serializes the stored records of jobs. Default values are omitted to keep the records small,
+ * because a new owner reads all of them before it starts work.
  */
 public final class JobCodec
 {
@@ -27,7 +27,7 @@
 
     /**
      * @param record an accepted job
-     * @return its value in the store
+     * @return the value to store
      */
     public static byte[] writeRecord(JobRecord record)
     {
@@ -35,9 +35,9 @@
     }
 
     /**
-     * @param bytes a value from the store
+     * @param bytes the stored value
      * @return the accepted job
-     * @throws GaugehollowException {@code STORE_BAD_ANSWER} if it cannot be read
+     * @throws GaugehollowException {@code STORE_BAD_ANSWER} if the value cannot be parsed
      */
     public static JobRecord readRecord(byte[] bytes)
     {
@@ -45,8 +45,8 @@
     }
 
     /**
-     * @param progress how far a job has come
-     * @return its value in the store
+     * @param progress the progress of a job
+     * @return the value to store
      */
     public static byte[] writeProgress(JobProgress progress)
     {
@@ -54,9 +54,9 @@
     }
 
     /**
-     * @param bytes a value from the store
-     * @return how far the job has come
-     * @throws GaugehollowException {@code STORE_BAD_ANSWER} if it cannot be read
+     * @param bytes the stored value
+     * @return the progress of the job
+     * @throws GaugehollowException {@code STORE_BAD_ANSWER} if the value cannot be parsed
      */
     public static JobProgress readProgress(byte[] bytes)
     {
@@ -71,7 +71,7 @@
         }
         catch (JsonProcessingException e)
         {
-            throw new GaugehollowException(ResultCode.INTERNAL, "a job cannot be written as JSON", e);
+            throw new GaugehollowException(ResultCode.INTERNAL, "cannot serialize job data as JSON", e);
         }
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/job/JobKeys.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/JobKeys.java
@@ -6,22 +6,22 @@
 
 import java.util.Optional;
 
-/** The names of the store's keys that belong to jobs and to the cell's owner. */
+/** Store keys of jobs and of the cell's owner. */
 public final class JobKeys
 {
-    /** The start of all records of accepted jobs and of their cancellations. */
+    /** Prefix of the records of accepted jobs and of their cancellations. */
     public static final String JOBS = "gaugehollow/jobs/";
-    /** The start of all records of progress. */
+    /** Prefix of the progress records. */
     public static final String PROGRESS = "gaugehollow/progress/";
-    /** Names the cell's owner; tied to its lease. */
+    /** Key of the cell's owner, attached to its lease. */
     public static final String OWNER = "gaugehollow/owner";
-    /** Changes with every write of the owner, so that writes take effect in their order. */
+    /** Key that each write of the owner updates, so that its writes take effect in order. */
     public static final String JOURNAL = "gaugehollow/journal";
-    /** Workers whose leases the owner lets lapse because they do not answer. */
+    /** Key of the workers whose leases the owner no longer renews because they are unresponsive. */
     public static final String EXPIRING_LEASES = "gaugehollow/lapsing";
-    /** Counts of waiting jobs, written by the owner. */
+    /** Key of the counts of waiting jobs, written by the owner. */
     public static final String SUMMARY = "gaugehollow/summary";
-    /** The start of the boxes' registrations. */
+    /** Prefix of the boxes' registrations. */
     public static final String BOXES = "gaugehollow/boxes/";
 
     private static final String CANCEL = "/cancel";
@@ -33,7 +33,7 @@
 
     /**
      * @param id a job's id
-     * @return the key of its record
+     * @return the key of the job's record
      */
     public static String job(String id)
     {
@@ -42,7 +42,7 @@
 
     /**
      * @param id a job's id
-     * @return the start of the keys of its record and of its cancellation
+     * @return the common prefix of the keys of the job's record and cancellation
      */
     public static String jobPrefix(String id)
     {
@@ -51,7 +51,7 @@
 
     /**
      * @param id a job's id
-     * @return the key that exists once the job is cancelled
+     * @return the key of the job's cancellation
      */
     public static String cancel(String id)
     {
@@ -60,7 +60,7 @@
 
     /**
      * @param id a job's id
-     * @return the key of its progress
+     * @return the key of the job's progress
      */
     public static String progress(String id)
     {
@@ -69,7 +69,7 @@
 
     /**
      * @param key a key under {@link #JOBS}
-     * @return the id of the job whose record it names, if it names one
+     * @return the id of the job if this is the key of a job's record
      */
     public static Optional<String> idOfJob(String key)
     {
@@ -78,7 +78,7 @@
 
     /**
      * @param key a key under {@link #JOBS}
-     * @return the id of the job whose cancellation it names, if it names one
+     * @return the id of the job if this is the key of a cancellation
      */
     public static Optional<String> idOfCancel(String key)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/job/JobProgress.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/JobProgress.java
@@ -7,24 +7,24 @@
 import java.util.List;
 
 /**
- * How far a job has come, as it lies in the store; written by the cell's owner alone.
+ * Stored progress of a job, written only by the cell's owner.
  *
  * @param queue the name of the job's queue
  * @param state the state shown to callers
- * @param rounds the progress of each repetition that has begun; null once the state is final and
- *            nothing of the job may run any more
+ * @param rounds the progress of each repetition that has started; null once the state is final and
+ *            no run of the job can be active
  * @param customer the name of the job's customer; null if it has none
  */
 public record JobProgress(String queue, JobState state, List<RoundProgress> rounds, String customer)
 {
-    /** The progress of a job of no customer; see the components. */
+    /** Creates the progress of a job without a customer. */
     public JobProgress(String queue, JobState state, List<RoundProgress> rounds)
     {
         this(queue, state, rounds, null);
     }
 
     /**
-     * One repetition of the steps.
+     * Progress of one repetition of the steps.
      *
      * @param steps one entry for each step
      */
@@ -33,7 +33,7 @@
     }
 
     /**
-     * One step of a repetition.
+     * Progress of one step of a repetition.
      *
      * @param tasks one entry for each task
      */
@@ -42,19 +42,19 @@
     }
 
     /**
-     * One task.
+     * Progress of one task.
      *
-     * @param run the highest run that may have been started, 0 for none
-     * @param failures how many runs ended as failed
-     * @param done whether a run ended well
-     * @param worker the worker on which that run may be running, or null
-     * @param checkpoint the newest saved state known, or null
-     * @param crashes the workers that crashed under it, or null if there are none
+     * @param run the highest number of a run that may have been started, 0 for none
+     * @param failures the number of failed runs
+     * @param done whether a run has succeeded
+     * @param worker the worker on which the run may be active, or null
+     * @param checkpoint the latest known checkpoint, or null
+     * @param crashes the workers that crashed during runs of the task, or null if there are none
      */
     public record TaskProgress(int run, int failures, boolean done, String worker, String checkpoint,
             CrashHistory crashes)
     {
-        /** A task under which no worker has crashed; see the components. */
+        /** Creates the progress of a task without crashes. */
         public TaskProgress(int run, int failures, boolean done, String worker, String checkpoint)
         {
             this(run, failures, done, worker, checkpoint, null);
--- a/gaugehollow/src/main/java/org/gaugehollow/job/JobRecord.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/JobRecord.java
@@ -5,31 +5,30 @@
 package org.gaugehollow.job;
 
 /**
- * An accepted job as it lies in the store. It is written once; when the job is over, a short record
- * takes its place, so that the id stays taken and new owners have little to read.
+ * Stored record of an accepted job. It is written once. A tombstone replaces it when the job has
+ * ended, so that the id stays in use and new owners have less to read.
  *
  * @param id the job's id, chosen by the caller
- * @param queue the queue as it was defined when the job was accepted
- * @param job what is to be run; null once the job is over
- * @param acceptedMillis when it was accepted, on the accepting box's clock in milliseconds since
- *            1970
- * @param customer the name of the customer whose key brought it; null where no key was needed
+ * @param queue the queue as defined when the job was accepted
+ * @param job the specification of the job; null in a tombstone
+ * @param acceptedMillis time of acceptance on the accepting box's clock, in milliseconds since 1970
+ * @param customer the name of the customer that submitted the job; null if no key was needed
  */
 public record JobRecord(String id, QueueSpec queue, JobSpec job, long acceptedMillis, String customer)
 {
-    /** A job of no customer; see the components. */
+    /** Creates the record of a job without a customer. */
     public JobRecord(String id, QueueSpec queue, JobSpec job, long acceptedMillis)
     {
         this(id, queue, job, acceptedMillis, null);
     }
 
-    /** @return the record of the same job once it is over */
+    /** @return the record that replaces this one when the job has ended */
     public JobRecord toTombstone()
     {
         return new JobRecord(id, QueueSpec.named(queue.name()), null, acceptedMillis, customer);
     }
 
-    /** @return whether the job is over */
+    /** @return whether the job has ended */
     public boolean hasEnded()
     {
         return job == null;
--- a/gaugehollow/src/main/java/org/gaugehollow/job/JobScope.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/JobScope.java
@@ -5,17 +5,17 @@
 package org.gaugehollow.job;
 
 /**
- * Where a job belongs, and what a caller may see and change: the jobs of one queue that are its
- * customer's or nobody's.
+ * The jobs that a caller may see and change: those of one queue that belong to the caller's
+ * customer or to none.
  *
  * @param queue the queue
- * @param customer the name of the caller's customer; null where callers need no key
+ * @param customer the name of the caller's customer; null if callers need no key
  */
 public record JobScope(QueueSpec queue, String customer)
 {
     /**
      * @param queue a queue
-     * @return the scope of a caller that needs no key
+     * @return the scope of a caller without a key
      */
     public static JobScope of(QueueSpec queue)
     {
@@ -24,8 +24,8 @@
 
     /**
      * @param jobQueue the name of a job's queue
-     * @param jobCustomer the name of its customer; null for one that was accepted without a key
-     * @return whether a caller of this scope may see and change the job
+     * @param jobCustomer the name of the job's customer; null if it was accepted without a key
+     * @return whether the caller may see and change the job
      */
     public boolean covers(String jobQueue, String jobCustomer)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/job/JobSpec.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/JobSpec.java
@@ -10,13 +10,13 @@
 import org.gaugehollow.model.ResultCode;
 
 /**
- * What a caller asks to be run.
+ * Specification of a job, as submitted by a caller.
  *
- * @param spec text handed to every task
+ * @param spec text passed to every task
  * @param steps the steps, in order
- * @param repeatCount how many times the steps run, 0 for once and at once
- * @param startAtMillis when the first repetition is due, in milliseconds since 1970
- * @param intervalMillis time from one repetition to the next, in milliseconds
+ * @param repeatCount number of repetitions, 0 for a single immediate run
+ * @param startAtMillis start time of the first repetition, in milliseconds since 1970
+ * @param intervalMillis interval between the starts of repetitions, in milliseconds
  */
 public record JobSpec(String spec, List<StepSpec> steps, int repeatCount, long startAtMillis,
         long intervalMillis)
@@ -25,7 +25,7 @@
     private static final int MAX_TASKS_PER_STEP = 10_000;
     private static final int MAX_REPETITIONS = 10_000;
 
-    /** Checks the shape of the job. */
+    /** Validates the components. */
     public JobSpec
     {
         check(spec != null, "spec: is required");
@@ -43,7 +43,7 @@
             check(step.count() >= 1 && step.count() <= MAX_TASKS_PER_STEP,
                     "steps: expected 1 to 10000 tasks");
             check(step.cpu() >= 0 && step.memoryMib() >= 0 && step.accelerators() >= 0,
-                    "steps: amounts must not be negative");
+                    "steps: cpu, memory and accelerators must not be negative");
             for (int earlier : step.dependsOn())
             {
                 check(earlier >= 0 && earlier < i, "steps: a step may depend on earlier steps only");
@@ -59,7 +59,7 @@
         }
     }
 
-    /** @return how many times the steps run, at least 1 */
+    /** @return the number of times that the steps run, at least 1 */
     public int rounds()
     {
         return Math.max(1, repeatCount);
--- a/gaugehollow/src/main/java/org/gaugehollow/job/JobState.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/JobState.java
@@ -9,18 +9,18 @@
 /** The states of a job as callers see them. */
 public enum JobState
 {
-    /** Accepted; none of its tasks has begun. */
+    /** Accepted; no task has started. */
     QUEUED,
-    /** At least one task has begun. */
+    /** At least one task has started. */
     RUNNING,
-    /** Every task has ended well. */
+    /** All tasks have succeeded. */
     COMPLETED,
     /** A task or gang has used up its attempts. */
     FAILED,
     /** Cancelled by its caller. */
     CANCELLED;
 
-    /** @return whether nothing of the job runs any more */
+    /** @return whether this is a final state */
     public boolean isFinal()
     {
         return this == COMPLETED || this == FAILED || this == CANCELLED;
--- a/gaugehollow/src/main/java/org/gaugehollow/job/QuotaCheck.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/QuotaCheck.java
@@ -8,7 +8,7 @@
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.ResultCode;
 
-/** Whether a job could ever run within a customer's quota; one that could not is not accepted. */
+/** Checks on submission whether a job can ever run within its customer's quota. */
 public final class QuotaCheck
 {
     private QuotaCheck()
@@ -16,10 +16,10 @@
     }
 
     /**
-     * @param job what is to be run
-     * @param customer whose job it is
-     * @throws GaugehollowException {@code QUOTA_TOO_SMALL} if a task, or a whole gang, needs more than
-     *             the customer may ever have running
+     * @param job the job
+     * @param customer the job's customer
+     * @throws GaugehollowException {@code QUOTA_TOO_SMALL} if a single task or a whole gang needs more
+     *             than the quota
      */
     public static void check(JobSpec job, Customer customer)
     {
@@ -29,8 +29,9 @@
             if (!fits(customer.quota(), step.needs(), concurrentTasks))
             {
                 throw new GaugehollowException(ResultCode.QUOTA_TOO_SMALL,
-                        "a step needs " + concurrentTasks + " times " + step.needs() + " at the same time, "
-                                + customer.name() + " may have " + customer.quota());
+                        "a step needs " + concurrentTasks + " times " + step.needs()
+                                + " at the same time; the quota of " + customer.name() + " is "
+                                + customer.quota());
             }
         }
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/job/StepSpec.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/StepSpec.java
@@ -9,41 +9,41 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * One step of a job: a number of like tasks.
+ * One step of a job, with a number of identical tasks.
  *
- * @param count how many tasks
- * @param cpu processor share of each, in thousandths of a core
- * @param memoryMib memory of each, in MiB
- * @param accelerators accelerators of each
- * @param estimateMillis rough time of a task, in milliseconds
- * @param dependsOn numbers of earlier steps that must be done first
- * @param checkpointing whether tasks save their progress
- * @param gang whether the tasks work only all together
- * @param rackLocal whether the tasks are slower when spread over racks
- * @param requires label that a worker must have, or null
- * @param affinity rack on which the tasks are fastest, or null
- * @param antiAffinity how many tasks of the step one worker may hold, 0 for any number
- * @param speculative whether copies may run side by side
+ * @param count number of tasks
+ * @param cpu CPU of each task, in thousandths of a core
+ * @param memoryMib memory of each task, in MiB
+ * @param accelerators number of accelerators of each task
+ * @param estimateMillis estimated run time of a task, in milliseconds
+ * @param dependsOn indexes of the earlier steps that must complete first
+ * @param checkpointing whether the tasks write checkpoints
+ * @param gang whether all tasks must run at the same time
+ * @param rackLocal whether the tasks run faster on a single rack
+ * @param requires label that the worker must have, or null
+ * @param affinity preferred rack, or null
+ * @param antiAffinity maximum number of the step's tasks on one worker, 0 for no limit
+ * @param speculative whether duplicate runs of a task are allowed
  * @param longRunning whether the tasks run until the job is cancelled
- * @param image what the tasks run, or null
- * @param targetMillis what the tail of a serving task's answer times must stay below, 0 for none
- * @param fills whether the tasks take only processor time that others leave unused
- * @param mayMiss how many tasks of a long-running step may be away at once by our doing
+ * @param image the image that the tasks run, or null
+ * @param targetMillis target for the tail latency of a serving task, in milliseconds, 0 for none
+ * @param fills whether the tasks are best-effort: they use only CPU time that other tasks leave
+ *            idle
+ * @param mayMiss maximum number of tasks of a long-running step that the scheduler may have stopped
+ *            at a time
  */
 public record StepSpec(int count, int cpu, int memoryMib, int accelerators, long estimateMillis,
         List<Integer> dependsOn, boolean checkpointing, boolean gang, boolean rackLocal, String requires,
         String affinity, int antiAffinity, boolean speculative, boolean longRunning, String image,
         long targetMillis, boolean fills, int mayMiss)
 {
-    /** Fills in what may be left out. */
+    /** Replaces absent values by their defaults. */
     public StepSpec
     {
         dependsOn = dependsOn == null ? List.of() : List.copyOf(dependsOn);
     }
 
-    /**
-     * @return what one task takes of a worker; a task that fills takes no processor share of its own
-     */
+    /** @return the resources that one task needs; a best-effort task reserves no CPU */
     public ComputeResources needs()
     {
         return new ComputeResources(0, fills ? 0 : cpu, memoryMib, accelerators);
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/EngineLimits.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/EngineLimits.java
@@ -9,11 +9,11 @@
 import org.gaugehollow.model.TaskClass;
 
 /**
- * The limits of an engine.
+ * Limits of a {@link PlacementEngine}.
  *
- * @param waiting how many tasks of each class may wait
- * @param waitingInAll how many tasks may wait in all; beyond it the least urgent is shed first
- * @param batchShare the share of all slots that batch may hold, so that urgent work finds room
+ * @param waiting maximum number of waiting tasks of each class; a default applies to absent classes
+ * @param waitingInAll maximum number of waiting tasks; beyond it, less urgent tasks are shed
+ * @param batchShare maximum share of all slots that batch tasks may use, 0 to 1
  */
 public record EngineLimits(Map<TaskClass, Integer> waiting, int waitingInAll, double batchShare)
 {
@@ -21,7 +21,7 @@
     private static final int DEFAULT_MAX_WAITING = 2_000;
     private static final double DEFAULT_BATCH_SHARE = 0.85;
 
-    /** @return the limits that apply where the settings say nothing */
+    /** @return the default limits */
     public static EngineLimits defaults()
     {
         return new EngineLimits(Map.of(), DEFAULT_MAX_WAITING, DEFAULT_BATCH_SHARE);
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/OwnedWorker.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/OwnedWorker.java
@@ -9,7 +9,7 @@
 
 import org.gaugehollow.model.ComputeResources;
 
-/** What an engine knows of one worker. Not thread-safe: its engine guards it. */
+/** Resources and placements of one owned worker. Not thread-safe: guarded by the engine's lock. */
 final class OwnedWorker
 {
     private final String id;
@@ -40,7 +40,10 @@
         used = used.plus(placement.demand().needs());
     }
 
-    /** Frees what a placement held here; false where it is not held, as after a change of owner. */
+    /**
+     * Frees the resources of a placement. Returns false if the placement is unknown, for example after
+     * the ownership of the worker has changed.
+     */
     boolean release(Placement placement)
     {
         if (!running.remove(placement.demand().task(), placement))
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PackingFirstScore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PackingFirstScore.java
@@ -7,19 +7,17 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * Rates the worker best that has least left after the task, for work whose packing counts most.
+ * Best-fit score: prefers the worker with the fewest resources remaining after the placement.
  *
- * @param acceleratorReserve what is added for a worker with free accelerators when the task needs
- *            none
- * @param balanceWeight how much an uneven rest of processors and memory counts, since an uneven
- *            rest is what later tasks cannot use
- * @param strandWeight what is added for each free accelerator that would be left without enough
- *            processors and memory for a task that uses it
+ * @param acceleratorReserve penalty for a worker with free accelerators if the task needs none
+ * @param balanceWeight weight of the difference between the remaining fractions of CPU and memory,
+ *            because later tasks can hardly use an uneven remainder
+ * @param strandWeight penalty for each free accelerator that would be stranded: left without enough
+ *            CPU and memory for a task that uses it
  */
 public record PackingFirstScore(double acceleratorReserve, double balanceWeight,
         double strandWeight) implements WorkerScore
 {
-    /** What a task that uses an accelerator needs beside it, at the least. */
     private static final int MIN_CPU_MILLIS_PER_ACCELERATOR = 4_000;
     private static final int MIN_MEMORY_MIB_PER_ACCELERATOR = 8_192;
 
@@ -38,7 +36,7 @@
                 + strandWeight * additionalStranded(free, demand);
     }
 
-    /** How many more accelerators would be stranded with the task than are without it. */
+    /** Returns the number of accelerators that the placement would strand. */
     private static int additionalStranded(ComputeResources free, ComputeResources demand)
     {
         if (free.accelerators() == 0)
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/Placement.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/Placement.java
@@ -5,13 +5,13 @@
 package org.gaugehollow.placement;
 
 /**
- * A decision: this task runs on this worker until it is released.
+ * Assignment of a task to a worker, valid until it is released.
  *
  * @param demand the task
  * @param worker the worker's id
- * @param epoch the epoch of this box's ownership of the worker, the fencing token of the start
- * @param policy the name of the policy that decided
- * @param waitedNanos how long the task waited for the decision
+ * @param epoch the epoch of this box's ownership of the worker, used as the fencing token
+ * @param policy the name of the policy that chose the worker
+ * @param waitedNanos time that the task waited in the queue, in nanoseconds
  */
 public record Placement(TaskDemand demand, String worker, long epoch, String policy, long waitedNanos)
 {
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PlacementEngine.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PlacementEngine.java
@@ -21,8 +21,9 @@
 import org.gaugehollow.model.TaskClass;
 
 /**
- * Decides where each task runs and when it waits, over the workers that this box owns. It alone
- * counts what they have free; usage reports are never taken for room. Thread-safe.
+ * Places tasks on the workers that this box owns and queues the tasks that no worker can run yet.
+ * Free capacity is computed only from the placements made here and the orphan usage passed in, not
+ * from the workers' usage reports. Thread-safe.
  */
 public final class PlacementEngine
 {
@@ -40,9 +41,9 @@
     private long nextSequence;
 
     /**
-     * @param limits queue limits and shares
-     * @param policies which policy governs which class
-     * @param nanoTime a monotonic clock
+     * @param limits limits of the waiting queue and of batch work
+     * @param policies the placement policy of each task class
+     * @param nanoTime monotonic clock, in nanoseconds
      */
     public PlacementEngine(EngineLimits limits, PolicyAssignments policies, LongSupplier nanoTime)
     {
@@ -52,10 +53,10 @@
     }
 
     /**
-     * Swaps the policies. Waiting tasks are decided by the new ones from now on; none is lost or
-     * reordered.
+     * Replaces the policies. Waiting tasks keep their places in the queue and are placed by the new
+     * policies.
      *
-     * @param book the new policies
+     * @param newPolicies the new policies
      */
     public void usePolicies(PolicyAssignments newPolicies)
     {
@@ -72,13 +73,13 @@
     }
 
     /**
-     * Adds a worker that this box owns now, or changes it.
+     * Adds or updates a worker that this box owns.
      *
-     * @param worker its id
+     * @param worker the worker's id
      * @param epoch the epoch of the ownership
-     * @param capacity what it holds
-     * @param foreign what still runs there that this box did not start
-     * @param accepting whether it may get new work
+     * @param capacity the worker's total resources
+     * @param orphanUsage the resources used by tasks that this box did not start
+     * @param accepting whether new tasks may be placed on the worker
      */
     public void putWorker(String worker, long epoch, ComputeResources capacity, ComputeResources orphanUsage,
             boolean accepting)
@@ -99,10 +100,10 @@
     }
 
     /**
-     * Stops or resumes new work for a worker; unknown ones are ignored.
+     * Stops or resumes the placement of new tasks on a worker. Unknown workers are ignored.
      *
-     * @param worker its id
-     * @param accepting whether it may get new work
+     * @param worker the worker's id
+     * @param accepting whether new tasks may be placed on the worker
      */
     public void setAccepting(String worker, boolean accepting)
     {
@@ -124,9 +125,9 @@
     }
 
     /**
-     * Forgets a worker that this box no longer owns. What it started there is still released later.
+     * Removes a worker that this box no longer owns. Placements on it must still be released.
      *
-     * @param worker its id
+     * @param worker the worker's id
      */
     public void removeWorker(String worker)
     {
@@ -144,10 +145,10 @@
     }
 
     /**
-     * Places a task now or not at all, behind those that wait already.
+     * Places a task if that is possible without waiting.
      *
      * @param demand the task
-     * @return the decision, or empty where there is no room up
+     * @return the placement, or empty if the limits or the free capacity don't allow one
      */
     public Optional<Placement> tryPlace(TaskDemand demand)
     {
@@ -163,13 +164,14 @@
     }
 
     /**
-     * Places a task, waiting for room until the given time.
+     * Places a task, waiting for free capacity until the given time.
      *
      * @param demand the task
-     * @param untilNanos when to give up, on the engine's clock
-     * @return the decision
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException with {@code NO_ROOM}, {@code QUEUE_FULL} or {@code PREEMPTED}
+     * @param timeoutAtNanos time at which the wait ends, on the engine's clock
+     * @return the placement
+     * @throws InterruptedException if the thread is interrupted while the task waits
+     * @throws GaugehollowException {@code NO_ROOM} after the timeout, {@code QUEUE_FULL} if the task
+     *             may not wait, {@code PREEMPTED} if a more urgent task took its place in the queue
      */
     public Placement place(TaskDemand demand, long timeoutAtNanos) throws InterruptedException
     {
@@ -192,9 +194,9 @@
     }
 
     /**
-     * Frees what a task held.
+     * Frees the resources of a placement and places waiting tasks.
      *
-     * @param placement the decision that placed it
+     * @param placement the placement of the ended task
      */
     public void release(Placement placement)
     {
@@ -225,7 +227,7 @@
         }
     }
 
-    /** @return what all accepting workers have free together */
+    /** @return the sum of the free resources of all accepting workers */
     public ComputeResources free()
     {
         lock.lock();
@@ -244,7 +246,7 @@
         }
     }
 
-    /** @return how many tasks wait */
+    /** @return the number of waiting tasks */
     public int waiting()
     {
         lock.lock();
@@ -276,11 +278,12 @@
         }
         catch (ExecutionException | CancellationException e)
         {
-            throw new GaugehollowException(ResultCode.PREEMPTED, "a more urgent task took the waiting place",
-                    e);
+            throw new GaugehollowException(ResultCode.PREEMPTED,
+                    "removed from the full queue for a more urgent task", e);
         }
     }
 
+    /** Handles a timeout; the task may have been placed or shed in the meantime. */
     private Placement resolveTimeout(Waiter waiter)
     {
         lock.lock();
@@ -288,7 +291,8 @@
         {
             if (queue.remove(waiter))
             {
-                throw new GaugehollowException(ResultCode.NO_ROOM, "no worker had room in time");
+                throw new GaugehollowException(ResultCode.NO_ROOM,
+                        "no worker had enough free capacity before the timeout");
             }
         }
         finally
@@ -297,11 +301,13 @@
         }
         if (waiter.decision().isCompletedExceptionally())
         {
-            throw new GaugehollowException(ResultCode.PREEMPTED, "a more urgent task took the waiting place");
+            throw new GaugehollowException(ResultCode.PREEMPTED,
+                    "removed from the full queue for a more urgent task");
         }
         return waiter.decision().join();
     }
 
+    /** Removes a waiting task, or releases its placement if it has one already. */
     private void cancel(Waiter waiter)
     {
         lock.lock();
@@ -324,12 +330,12 @@
         if (queue.size(demand.taskClass()) >= limits.maxWaiting(demand.taskClass()))
         {
             throw new GaugehollowException(ResultCode.QUEUE_FULL,
-                    "too many " + demand.taskClass().label() + " tasks wait already");
+                    "too many waiting tasks of class " + demand.taskClass().label());
         }
         rejectIfTooLate(demand, nowNanos);
         if (queue.size() >= limits.waitingInAll())
         {
-            shedLessUrgentThan(demand);
+            shedLessUrgentTask(demand);
         }
         if (queue.size() == 0)
         {
@@ -340,24 +346,21 @@
         return waiter;
     }
 
-    /**
-     * A task whose turn would come after its caller has gone is refused at once, and told when to come
-     * back.
-     */
+    /** Rejects a task whose estimated wait exceeds its deadline. */
     private void rejectIfTooLate(TaskDemand demand, long nowNanos)
     {
         long expectedWaitNanos = serviceRate.estimateWaitNanos(queue.sizeAtLeastAsUrgent(demand.taskClass()));
         if (expectedWaitNanos > demand.deadlineNanos() - nowNanos)
         {
-            throw new GaugehollowException(ResultCode.QUEUE_FULL, "its turn would come too late, in about "
+            throw new GaugehollowException(ResultCode.QUEUE_FULL, "estimated wait exceeds the deadline: "
                     + TimeUnit.NANOSECONDS.toMillis(expectedWaitNanos) + " ms");
         }
     }
 
-    private void shedLessUrgentThan(TaskDemand demand)
+    private void shedLessUrgentTask(TaskDemand demand)
     {
-        Waiter victim = queue.leastUrgentBelow(demand.taskClass()).orElseThrow(
-                () -> new GaugehollowException(ResultCode.QUEUE_FULL, "too many tasks wait already"));
+        Waiter victim = queue.leastUrgentBelow(demand.taskClass())
+                .orElseThrow(() -> new GaugehollowException(ResultCode.QUEUE_FULL, "too many waiting tasks"));
         queue.remove(victim);
         victim.decision().cancel(false);
     }
@@ -382,6 +385,7 @@
         }
     }
 
+    /** Allocates a task to a worker; {@code waitingSinceNanos} is 0 for a task that has not waited. */
     private Optional<Placement> allocate(TaskDemand demand, long waitingSinceNanos)
     {
         if (!isWithinLimits(demand))
@@ -407,6 +411,7 @@
         return Optional.of(placement);
     }
 
+    /** Returns whether the team's task limit and the batch share allow the task. */
     private boolean isWithinLimits(TaskDemand demand)
     {
         int running = runningByTeam.getOrDefault(demand.team(), 0);
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PlacementPolicy.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PlacementPolicy.java
@@ -9,18 +9,18 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * Picks the worker for a task. Called under the engine's lock, so it must neither block nor call
- * back.
+ * Chooses the worker for a task. Called under the engine's lock, so implementations must neither
+ * block nor call the engine.
  */
 @FunctionalInterface
 public interface PlacementPolicy
 {
     /**
-     * Picks a worker among those with room.
+     * Chooses a worker with enough free resources.
      *
-     * @param index the workers that may get work
-     * @param demand what the task needs
-     * @return the worker's id, or empty where none has room
+     * @param index the workers that accept tasks
+     * @param demand the resources that the task needs
+     * @return the worker's id, or empty if no worker has enough free resources
      */
     Optional<String> choose(WorkerIndex index, ComputeResources demand);
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PolicyAssignments.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PolicyAssignments.java
@@ -11,14 +11,15 @@
 import org.gaugehollow.model.TaskClass;
 
 /**
- * Which policy governs which class at one configuration revision, comparisons included. Immutable.
+ * The placement policies and policy comparisons of the task classes at one configuration revision.
+ * Immutable.
  */
 public final class PolicyAssignments
 {
     private static final int PERCENT = 100;
 
     /**
-     * A policy under the name of its resource.
+     * A policy with the name of its configuration resource.
      *
      * @param name the resource's name
      * @param policy the policy
@@ -28,12 +29,12 @@
     }
 
     /**
-     * The two arms of a comparison.
+     * The two arms of a policy comparison.
      *
-     * @param comparison the resource's name
+     * @param comparison the name of the comparison's configuration resource
      * @param first the first arm
      * @param second the second arm
-     * @param secondPercent how many of a hundred tasks the second arm decides
+     * @param secondPercent percentage of tasks that the second arm places
      */
     public record Split(String comparison, Named first, Named second, int secondPercent)
     {
@@ -44,8 +45,8 @@
     private final Named fallback;
 
     /**
-     * @param policiesByClass the policy of each class that has one
-     * @param splitsByClass the comparison of each class that has one
+     * @param policiesByClass the policies of the classes that have one
+     * @param splitsByClass the comparisons of the classes that have one
      * @param fallback the policy of all other classes
      */
     public PolicyAssignments(Map<TaskClass, Named> policiesByClass, Map<TaskClass, Split> splitsByClass,
@@ -59,11 +60,12 @@
     }
 
     /**
-     * The policy that decides a task. The same task always gets the same arm of a comparison.
+     * Returns the policy that places a task. The arm of a comparison is chosen by a hash of the task
+     * id, so a task always gets the same one.
      *
      * @param taskClass the task's class
      * @param task the task's id
-     * @return the policy under its name
+     * @return the policy and its name
      */
     public Named policyFor(TaskClass taskClass, String task)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PolicyRegistry.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PolicyRegistry.java
@@ -13,12 +13,12 @@
 import org.gaugehollow.model.PolicySpec;
 import org.gaugehollow.model.ResultCode;
 
-/** The policies that a resource may name, and how each is made from its parameters. */
+/** Registry of the policy types that a configuration resource may name. */
 public final class PolicyRegistry
 {
-    /** The policy for work whose waiting time counts most. */
+    /** The policy type that spreads load to keep waiting times short. */
     public static final String WAITING_FIRST = "waiting-first";
-    /** The policy for work whose packing counts most. */
+    /** The policy type that packs tasks onto few workers. */
     public static final String PACKING_FIRST = "packing-first";
     private static final String ACCELERATOR_RESERVE = "acceleratorReserve";
     private static final String BALANCE_WEIGHT = "balanceWeight";
@@ -30,13 +30,13 @@
     private static final double DEFAULT_STRAND_WEIGHT = 100;
     private static final double MAX_PARAMETER_VALUE = 1_000_000;
 
-    private record PolicyType(List<String> parameters, Function<Map<String, Double>, PlacementPolicy> factory)
+    private record Entry(List<String> parameters, Function<Map<String, Double>, PlacementPolicy> factory)
     {
     }
 
-    private final Map<String, PolicyType> policyTypes = new TreeMap<>();
+    private final Map<String, Entry> entries = new TreeMap<>();
 
-    /** Registers the policies of this library. */
+    /** Creates a registry with the built-in policy types. */
     public PolicyRegistry()
     {
         register(WAITING_FIRST, List.of(ACCELERATOR_RESERVE), p -> new ScoredPolicy(new WaitingFirstScore(
@@ -55,38 +55,38 @@
     }
 
     /**
-     * Adds a policy.
+     * Registers a policy type.
      *
-     * @param type the name that resources use
-     * @param parameters the parameters it understands
-     * @param factory makes it from the parameters given
+     * @param type the type's name in configuration resources
+     * @param parameters the names of the accepted parameters
+     * @param factory creates a policy from the given parameter values
      */
     public void register(String type, List<String> parameters,
             Function<Map<String, Double>, PlacementPolicy> factory)
     {
-        policyTypes.put(type, new PolicyType(List.copyOf(parameters), factory));
+        entries.put(type, new Entry(List.copyOf(parameters), factory));
     }
 
     /**
-     * Makes a policy.
+     * Creates a policy.
      *
-     * @param spec what the resource says
+     * @param spec the policy's type and parameters
      * @return a new policy
-     * @throws GaugehollowException with {@link ResultCode#RESOURCE_INVALID} for an unknown type or
-     *             parameter
+     * @throws GaugehollowException {@link ResultCode#RESOURCE_INVALID} for an unknown type or parameter
+     *             or a value out of range
      */
     public PlacementPolicy create(PolicySpec spec)
     {
-        PolicyType policyType = policyTypes.get(spec.type());
-        if (policyType == null)
+        Entry entry = entries.get(spec.type());
+        if (entry == null)
         {
-            throw invalid("type: expected one of " + String.join(", ", policyTypes.keySet()));
+            throw invalid("type: expected one of " + String.join(", ", entries.keySet()));
         }
         for (Map.Entry<String, Double> parameter : spec.parameters().entrySet())
         {
-            if (!policyType.parameters.contains(parameter.getKey()))
+            if (!entry.parameters.contains(parameter.getKey()))
             {
-                throw invalid("parameters: " + spec.type() + " understands " + policyType.parameters);
+                throw invalid("parameters: " + spec.type() + " accepts " + entry.parameters);
             }
             double value = parameter.getValue();
             if (!(value >= 0 && value <= MAX_PARAMETER_VALUE))
@@ -94,7 +94,7 @@
                 throw invalid("parameters." + parameter.getKey() + ": expected 0 to " + MAX_PARAMETER_VALUE);
             }
         }
-        return policyType.factory.apply(spec.parameters());
+        return entry.factory.apply(spec.parameters());
     }
 
     private static GaugehollowException invalid(String message)
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/RandomPolicy.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/RandomPolicy.java
@@ -12,13 +12,13 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.gaugehollow.model.ComputeResources;
 
-/** A baseline: any worker with room, at random. */
+/** Baseline policy that chooses a random worker among those with enough free resources. */
 public final class RandomPolicy implements PlacementPolicy
 {
     private final UniformRandomProvider random;
 
     /**
-     * @param seed the seed of the choices
+     * @param seed the seed of the random number generator
      */
     public RandomPolicy(long seed)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/RoundRobinPolicy.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/RoundRobinPolicy.java
@@ -10,7 +10,7 @@
 
 import org.gaugehollow.model.ComputeResources;
 
-/** A baseline: the next worker with room after the one taken last. */
+/** Baseline policy that chooses the next worker by id with enough free resources. */
 public final class RoundRobinPolicy implements PlacementPolicy
 {
     private String lastWorker = "";
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/ScoredPolicy.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/ScoredPolicy.java
@@ -8,13 +8,13 @@
 
 import org.gaugehollow.model.ComputeResources;
 
-/** A policy that takes the worker with the lowest score, and of equals the first by id. */
+/** Policy that chooses the worker with the lowest score; ties go to the lowest id. */
 public final class ScoredPolicy implements PlacementPolicy
 {
     private final WorkerScore score;
 
     /**
-     * @param score how a worker is rated
+     * @param score the score function
      */
     public ScoredPolicy(WorkerScore score)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/ServiceRate.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/ServiceRate.java
@@ -5,48 +5,45 @@
 package org.gaugehollow.placement;
 
 /**
- * How fast waiting tasks get their turn, from the times between releases while tasks wait. Not
- * thread-safe: its engine guards it.
+ * Estimates waiting times from the intervals between releases, as an exponential moving average.
+ * Intervals during which no task waits don't count. Not thread-safe: guarded by the engine's lock.
  */
 final class ServiceRate
 {
     private static final double SMOOTHING_FACTOR = 0.05;
 
     private double meanIntervalNanos;
-    private long lastReleaseNanos;
+    private long intervalStartNanos;
     private boolean tasksWaiting;
 
-    /**
-     * The first task begins to wait: only from here on do the times between releases say how fast the
-     * cell is.
-     */
+    /** Starts measuring when the first task is queued. */
     void onQueueNonEmpty(long nowNanos)
     {
         tasksWaiting = true;
-        lastReleaseNanos = nowNanos;
+        intervalStartNanos = nowNanos;
     }
 
-    /** No task waits any more. */
+    /** Stops measuring until the next task is queued. */
     void onQueueEmpty()
     {
         tasksWaiting = false;
     }
 
-    /** A task ended, and with it a place became free. */
+    /** Records the release of a placement. */
     void onRelease(long nowNanos)
     {
         if (!tasksWaiting)
         {
             return;
         }
-        double intervalNanos = nowNanos - lastReleaseNanos;
+        double intervalNanos = nowNanos - intervalStartNanos;
         meanIntervalNanos = meanIntervalNanos == 0
                 ? intervalNanos
                 : meanIntervalNanos + (intervalNanos - meanIntervalNanos) * SMOOTHING_FACTOR;
-        lastReleaseNanos = nowNanos;
+        intervalStartNanos = nowNanos;
     }
 
-    /** How long a task waits behind so many others, 0 while nothing is known. */
+    /** Returns the estimated wait behind the given number of tasks, or 0 without measurements. */
     long estimateWaitNanos(int tasksAhead)
     {
         return (long) (meanIntervalNanos * tasksAhead);
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/TaskDemand.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/TaskDemand.java
@@ -8,15 +8,15 @@
 import org.gaugehollow.model.TaskClass;
 
 /**
- * A task that wants a worker.
+ * A task to be placed on a worker.
  *
- * @param task its id
- * @param taskClass its class
- * @param team its team
- * @param teamWeight the team's share among waiting tasks
- * @param teamLimit how many tasks the team may run here at once, 0 for no limit
- * @param needs what it takes on a worker
- * @param deadlineNanos when its caller stops waiting, on the engine's clock
+ * @param task the task's id
+ * @param taskClass the task's class
+ * @param team the team that the task belongs to
+ * @param teamWeight the team's weight for sharing among waiting tasks
+ * @param teamLimit maximum number of tasks of the team that this box runs at a time, 0 for no limit
+ * @param needs the resources that the task needs
+ * @param deadlineNanos time at which the caller stops waiting, on the engine's clock
  */
 public record TaskDemand(String task, TaskClass taskClass, String team, int teamWeight, int teamLimit,
         ComputeResources needs, long deadlineNanos)
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/Waiter.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/Waiter.java
@@ -6,7 +6,7 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** A task that waits for room. */
+/** A task that waits for free capacity, with the future of its placement. */
 final class Waiter
 {
     private final TaskDemand demand;
@@ -36,7 +36,7 @@
         return decision;
     }
 
-    /** Earliest deadline first, then first come. */
+    /** Orders by deadline, then by arrival. */
     static int compareByDeadline(Waiter a, Waiter b)
     {
         int order = Long.compare(a.demand.deadlineNanos() - b.demand.deadlineNanos(), 0);
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/WaitingFirstScore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/WaitingFirstScore.java
@@ -7,11 +7,10 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * Rates the least loaded worker best, for work whose waiting time counts most. Load is the fullest
- * of slots, processors and memory after the task was placed.
+ * Least-loaded score: prefers the worker with the lowest load, to keep waiting times short. Load is
+ * the highest used fraction of slots, CPU and memory after the placement.
  *
- * @param acceleratorReserve how much load is added for a worker with accelerators when the task
- *            needs none
+ * @param acceleratorReserve load added for a worker with free accelerators if the task needs none
  */
 public record WaitingFirstScore(double acceleratorReserve) implements WorkerScore
 {
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/WaitingQueue.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/WaitingQueue.java
@@ -16,33 +16,40 @@
 import org.gaugehollow.model.TaskClass;
 
 /**
- * Tasks that wait for room. A more urgent class goes first; within a class the teams share by
- * weight, and within a team the earliest deadline goes first. Not thread-safe: its engine guards
- * it.
+ * Queue of tasks that wait for free capacity. More urgent classes are served first. Within a class,
+ * teams share by weight; within a team, the earliest deadline is served first. Not thread-safe:
+ * guarded by the engine's lock.
  */
 final class WaitingQueue
 {
-    /** The waiting tasks of one team in one class, and how much of its share the team has had. */
+    /**
+     * The waiting tasks of one team in one class. The virtual time rises by 1 / weight with each placed
+     * task; the team with the lowest one is served next.
+     */
     private static final class TeamQueue
     {
         private final TreeSet<Waiter> waiters = new TreeSet<>(Waiter::compareByDeadline);
         private double virtualTime;
     }
 
-    private final Map<TaskClass, Map<String, TeamQueue>> teamQueues = new EnumMap<>(TaskClass.class);
-    private final Map<TaskClass, Double> virtualTimes = new EnumMap<>(TaskClass.class);
+    private final Map<TaskClass, Map<String, TeamQueue>> queuesByClass = new EnumMap<>(TaskClass.class);
+    private final Map<TaskClass, Double> maxVirtualTimes = new EnumMap<>(TaskClass.class);
     private int size;
 
+    /**
+     * Adds a waiting task. A new team starts at the highest virtual time of its class and gets no
+     * credit for the time in which it had no waiting tasks.
+     */
     void add(Waiter waiter)
     {
         TaskDemand demand = waiter.demand();
-        Map<String, TeamQueue> queuesByTeam = teamQueues.computeIfAbsent(demand.taskClass(),
+        Map<String, TeamQueue> queuesByTeam = queuesByClass.computeIfAbsent(demand.taskClass(),
                 c -> new HashMap<>());
         TeamQueue teamQueue = queuesByTeam.get(demand.team());
         if (teamQueue == null)
         {
             teamQueue = new TeamQueue();
-            teamQueue.virtualTime = virtualTimes.getOrDefault(demand.taskClass(), 0.0);
+            teamQueue.virtualTime = maxVirtualTimes.getOrDefault(demand.taskClass(), 0.0);
             queuesByTeam.put(demand.team(), teamQueue);
         }
         if (teamQueue.waiters.add(waiter))
@@ -51,9 +58,11 @@
         }
     }
 
+    /** Returns whether the task was in the queue. */
     boolean remove(Waiter waiter)
     {
-        Map<String, TeamQueue> queuesByTeam = teamQueues.getOrDefault(waiter.demand().taskClass(), Map.of());
+        Map<String, TeamQueue> queuesByTeam = queuesByClass.getOrDefault(waiter.demand().taskClass(),
+                Map.of());
         TeamQueue teamQueue = queuesByTeam.get(waiter.demand().team());
         if (teamQueue == null || !teamQueue.waiters.remove(waiter))
         {
@@ -67,13 +76,13 @@
         return true;
     }
 
-    /** Takes a waiter out because it is placed, and charges its team's share. */
+    /** Removes a placed task and advances its team's virtual time. */
     void removePlaced(Waiter waiter)
     {
         TaskDemand demand = waiter.demand();
-        TeamQueue teamQueue = teamQueues.get(demand.taskClass()).get(demand.team());
+        TeamQueue teamQueue = queuesByClass.get(demand.taskClass()).get(demand.team());
         teamQueue.virtualTime += 1.0 / demand.teamWeight();
-        virtualTimes.merge(demand.taskClass(), teamQueue.virtualTime, Math::max);
+        maxVirtualTimes.merge(demand.taskClass(), teamQueue.virtualTime, Math::max);
         remove(waiter);
     }
 
@@ -84,11 +93,11 @@
 
     int size(TaskClass taskClass)
     {
-        return teamQueues.getOrDefault(taskClass, Map.of()).values().stream()
+        return queuesByClass.getOrDefault(taskClass, Map.of()).values().stream()
                 .mapToInt(teamQueue -> teamQueue.waiters.size()).sum();
     }
 
-    /** How many tasks of this class and of more urgent ones wait. */
+    /** Returns the number of waiting tasks of this class and of more urgent ones. */
     int sizeAtLeastAsUrgent(TaskClass taskClass)
     {
         int sum = 0;
@@ -99,13 +108,13 @@
         return sum;
     }
 
-    /** @return the heads of the teams' lines in the order in which they are to be served */
+    /** @return the first task of each team, in the order in which they should be served */
     List<Waiter> heads()
     {
         List<Waiter> heads = new ArrayList<>();
         for (TaskClass taskClass : TaskClass.values())
         {
-            teamQueues.getOrDefault(taskClass, Map.of()).values().stream()
+            queuesByClass.getOrDefault(taskClass, Map.of()).values().stream()
                     .sorted(Comparator.<TeamQueue>comparingDouble(teamQueue -> teamQueue.virtualTime)
                             .thenComparing(teamQueue -> teamQueue.waiters.first(), Waiter::compareByDeadline))
                     .forEach(teamQueue -> heads.add(teamQueue.waiters.first()));
@@ -114,15 +123,15 @@
     }
 
     /**
-     * @return the waiter to shed for one of the given class: the last of the least urgent class below
-     *         it
+     * @return the task with the latest deadline in the least urgent class, if that class is less urgent
+     *         than the given one
      */
     Optional<Waiter> leastUrgentBelow(TaskClass taskClass)
     {
         TaskClass[] classes = TaskClass.values();
         for (int i = classes.length - 1; i > taskClass.ordinal(); i--)
         {
-            Optional<Waiter> last = teamQueues.getOrDefault(classes[i], Map.of()).values().stream()
+            Optional<Waiter> last = queuesByClass.getOrDefault(classes[i], Map.of()).values().stream()
                     .map(teamQueue -> teamQueue.waiters.last()).max(Waiter::compareByDeadline);
             if (last.isPresent())
             {
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/WorkerIndex.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/WorkerIndex.java
@@ -14,17 +14,17 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * The workers that may get work, grouped by what they hold and have free. Workers in the same state
- * score alike, so a policy looks at each distinct state once and not at each worker. Not
- * thread-safe: its engine guards it.
+ * Index of the workers that accept tasks, grouped by capacity and free resources. Workers in the
+ * same state have the same score, so a policy computes one score for each distinct state. Not
+ * thread-safe: guarded by the engine's lock.
  */
 public final class WorkerIndex
 {
     /**
-     * What a group of workers has in common.
+     * The state that a group of workers shares.
      *
-     * @param capacity what each holds
-     * @param free what each has free
+     * @param capacity total resources of each worker
+     * @param free free resources of each worker
      */
     public record State(ComputeResources capacity, ComputeResources free)
     {
@@ -34,11 +34,11 @@
     private final Map<State, TreeSet<String>> byState = new HashMap<>();
 
     /**
-     * Adds a worker or changes what it has free.
+     * Adds or updates a worker.
      *
-     * @param worker its id
-     * @param capacity what it holds
-     * @param free what it has free
+     * @param worker the worker's id
+     * @param capacity the worker's total resources
+     * @param free the worker's free resources
      */
     public void put(String worker, ComputeResources capacity, ComputeResources free)
     {
@@ -49,7 +49,9 @@
     }
 
     /**
-     * @param worker the worker that gets no more work; unknown ones are ignored
+     * Removes a worker. Unknown workers are ignored.
+     *
+     * @param worker the worker's id
      */
     public void remove(String worker)
     {
@@ -73,15 +75,15 @@
     }
 
     /**
-     * @param state a state of {@link #states}
-     * @return the first worker in that state, by id
+     * @param state a state returned by {@link #states}
+     * @return the lowest id of the workers in that state
      */
     public String firstWorkerIn(State state)
     {
         return byState.get(state).first();
     }
 
-    /** @return every worker by id, in the order of ids */
+    /** @return the state of each worker, sorted by worker id */
     public NavigableMap<String, State> workers()
     {
         return byWorker;
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/WorkerScore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/WorkerScore.java
@@ -6,14 +6,14 @@
 
 import org.gaugehollow.model.ComputeResources;
 
-/** Rates a worker for a task from what it holds and has free. The lowest score wins. */
+/** Scores a worker for a task by its total and free resources. */
 @FunctionalInterface
 public interface WorkerScore
 {
     /**
-     * @param capacity what the worker holds
-     * @param free what it has free, at least the demand
-     * @param demand what the task needs
+     * @param capacity the worker's total resources
+     * @param free the worker's free resources, at least the demand
+     * @param demand the resources that the task needs
      * @return the score; lower is better
      */
     double score(ComputeResources capacity, ComputeResources free, ComputeResources demand);
--- a/gaugehollow/src/test/java/org/gaugehollow/job/CrashHistoryTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/job/CrashHistoryTest.java
@@ -12,7 +12,7 @@
 import org.gaugehollow.job.CrashHistory.Crash;
 import org.junit.jupiter.api.Test;
 
-/** What is known of the workers that crashed under a task. */
+/** Guards against wrong attribution of worker crashes to a task. */
 class CrashHistoryTest
 {
     private final CrashHistory history = CrashHistory.NONE.with("w1", Attribution.AT_START)
--- a/gaugehollow/src/test/java/org/gaugehollow/job/JobCodecTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/job/JobCodecTest.java
@@ -14,7 +14,7 @@
 import org.gaugehollow.job.JobProgress.TaskProgress;
 import org.junit.jupiter.api.Test;
 
-/** What is written comes back as it was, and little is written. */
+/** Guards against loss of data in stored records and against records with default values. */
 class JobCodecTest
 {
     private static final QueueSpec QUEUE = new QueueSpec("urgent", "service", 0, 2, 250, 1.5, null);
--- a/gaugehollow/src/test/java/org/gaugehollow/job/QuotaCheckTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/job/QuotaCheckTest.java
@@ -15,7 +15,7 @@
 import org.gaugehollow.model.ResultCode;
 import org.junit.jupiter.api.Test;
 
-/** Which jobs could never run within a quota. */
+/** Guards against acceptance of jobs that can never run within the quota. */
 class QuotaCheckTest
 {
     private static final Customer NORTH = new Customer("north", 1,
@@ -48,7 +48,7 @@
         assertRejected(job(10_000, 1 << 20, 0, true));
     }
 
-    /** A wide step runs in waves. */
+    /** The tasks of a step that is no gang may run one after another. */
     @Test
     void wideStepWithinQuotaPerTaskIsAccepted()
     {
--- a/gaugehollow/src/test/java/org/gaugehollow/placement/IndexDifferentialTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/placement/IndexDifferentialTest.java
@@ -21,10 +21,10 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.Provide;
 
-/** The index decides just as the naive scan does, whatever comes and goes. */
+/** Guards against placements by the index that differ from those of a full scan. */
 class IndexDifferentialTest
 {
-    /** One thing that happens to a cell. */
+    /** One random operation on the index. */
     record Operation(int action, int worker, ComputeResources resources)
     {
     }
@@ -43,25 +43,25 @@
     }
 
     @Property(tries = 300, seed = "4711")
-    void waitingFirst(@ForAll("histories") List<Operation> history)
+    void waitingFirst(@ForAll("histories") List<Operation> operations)
     {
-        replay(history, new WaitingFirstScore(0.25));
+        replay(operations, new WaitingFirstScore(0.25));
     }
 
     @Property(tries = 300, seed = "4712")
-    void packingFirst(@ForAll("histories") List<Operation> history)
+    void packingFirst(@ForAll("histories") List<Operation> operations)
     {
-        replay(history, new PackingFirstScore(10, 1, 100));
+        replay(operations, new PackingFirstScore(10, 1, 100));
     }
 
-    private static void replay(List<Operation> steps, WorkerScore score)
+    private static void replay(List<Operation> operations, WorkerScore score)
     {
         WorkerIndex index = new WorkerIndex();
         NaivePlacement naive = new NaivePlacement(score);
         ScoredPolicy policy = new ScoredPolicy(score);
         Map<String, ComputeResources> free = new HashMap<>();
         List<Map.Entry<String, ComputeResources>> running = new ArrayList<>();
-        for (Operation operation : steps)
+        for (Operation operation : operations)
         {
             String id = "w" + operation.worker;
             if (operation.action == 0)
--- a/gaugehollow/src/test/java/org/gaugehollow/placement/NaivePlacement.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/placement/NaivePlacement.java
@@ -10,7 +10,7 @@
 
 import org.gaugehollow.model.ComputeResources;
 
-/** The naive twin of the engine's index: looks at every worker anew for every task. */
+/** Reference implementation of {@link ScoredPolicy} that scores every worker for every task. */
 final class NaivePlacement
 {
     private final Map<String, WorkerIndex.State> workers = new TreeMap<>();
--- a/gaugehollow/src/test/java/org/gaugehollow/placement/PlacementEngineTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/placement/PlacementEngineTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** The engine's counting, queueing, shares and swaps. */
+/** Guards against wrong resource accounting, queue order, shares and policy changes. */
 class PlacementEngineTest
 {
     private static final ComputeResources ONE_SLOT = new ComputeResources(1, 0, 0, 0);
@@ -61,7 +61,7 @@
         return SteadyClock.nanos() + TimeUnit.SECONDS.toNanos(seconds);
     }
 
-    /** Starts to place a task and returns when the task waits or is decided. */
+    /** Starts a placement on another thread; returns when the task waits or the placement is done. */
     private CompletableFuture<Placement> placeAsync(TaskDemand demand) throws InterruptedException
     {
         CompletableFuture<Placement> result = new CompletableFuture<>();
