--- a/gaugehollow/src/main/java/org/gaugehollow/placement/OwnedWorker.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/OwnedWorker.java
@@ -9,7 +9,7 @@
 
 import org.gaugehollow.model.ComputeResources;
 
-/** What an engine knows of one worker. Not thread-safe: its engine guards it. */
+/** Resources and placements of one owned worker. Not thread-safe: guarded by the engine's lock. */
 final class OwnedWorker
 {
     private final String id;
@@ -17,7 +17,7 @@
     private long epoch;
     private ComputeResources capacity = ComputeResources.NONE;
     private ComputeResources used = ComputeResources.NONE;
-    private ComputeResources foreign = ComputeResources.NONE;
+    private ComputeResources orphanUsage = ComputeResources.NONE;
     private boolean accepting;
 
     OwnedWorker(String id)
@@ -25,22 +25,25 @@
         this.id = id;
     }
 
-    void update(long newEpoch, ComputeResources newCapacity, ComputeResources newForeign,
+    void update(long newEpoch, ComputeResources newCapacity, ComputeResources newOrphanUsage,
             boolean newAccepting)
     {
         epoch = newEpoch;
         capacity = newCapacity;
-        foreign = newForeign;
+        orphanUsage = newOrphanUsage;
         accepting = newAccepting;
     }
 
-    void take(Placement placement)
+    void allocate(Placement placement)
     {
         running.put(placement.demand().task(), placement);
         used = used.plus(placement.demand().needs());
     }
 
-    /** Frees what a placement held here; false where it is not held, as after a change of owner. */
+    /**
+     * Frees the resources of a placement. Returns false if the placement is unknown, for example after
+     * the ownership of the worker has changed.
+     */
     boolean release(Placement placement)
     {
         if (!running.remove(placement.demand().task(), placement))
@@ -53,7 +56,7 @@
 
     ComputeResources free()
     {
-        return capacity.minusClamped(used).minusClamped(foreign);
+        return capacity.minusClamped(used).minusClamped(orphanUsage);
     }
 
     String id()
@@ -71,7 +74,7 @@
         return capacity;
     }
 
-    boolean accepting()
+    boolean isAccepting()
     {
         return accepting;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PlacementEngine.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PlacementEngine.java
@@ -21,8 +21,9 @@
 import org.gaugehollow.model.TaskClass;
 
 /**
- * Decides where each task runs and when it waits, over the workers that this box owns. It alone
- * counts what they have free; usage reports are never taken for room. Thread-safe.
+ * Places tasks on the workers that this box owns and queues the tasks that no worker can run yet.
+ * Free capacity is computed only from the placements made here and the orphan usage passed in, not
+ * from the workers' usage reports. Thread-safe.
  */
 public final class PlacementEngine
 {
@@ -31,18 +32,18 @@
     private final WorkerIndex index = new WorkerIndex();
     private final WaitingQueue queue = new WaitingQueue();
     private final Map<String, Integer> runningByTeam = new HashMap<>();
-    private final ServiceRate rate = new ServiceRate();
+    private final ServiceRate serviceRate = new ServiceRate();
     private final EngineLimits limits;
     private final LongSupplier nanoTime;
     private PolicyAssignments policies;
-    private int batchSlots;
+    private int usedBatchSlots;
     private int totalSlots;
-    private long sequence;
+    private long nextSequence;
 
     /**
-     * @param limits queue limits and shares
-     * @param policies which policy governs which class
-     * @param nanoTime a monotonic clock
+     * @param limits limits of the waiting queue and of batch work
+     * @param policies the placement policy of each task class
+     * @param nanoTime monotonic clock, in nanoseconds
      */
     public PlacementEngine(EngineLimits limits, PolicyAssignments policies, LongSupplier nanoTime)
     {
@@ -52,18 +53,18 @@
     }
 
     /**
-     * Swaps the policies. Waiting tasks are decided by the new ones from now on; none is lost or
-     * reordered.
+     * Replaces the policies. Waiting tasks keep their places in the queue and are placed by the new
+     * policies.
      *
-     * @param book the new policies
+     * @param newPolicies the new policies
      */
-    public void usePolicies(PolicyAssignments book)
+    public void usePolicies(PolicyAssignments newPolicies)
     {
         lock.lock();
         try
         {
-            policies = book;
-            serveWaiting();
+            policies = newPolicies;
+            placeWaitingTasks();
         }
         finally
         {
@@ -72,15 +73,15 @@
     }
 
     /**
-     * Adds a worker that this box owns now, or changes it.
+     * Adds or updates a worker that this box owns.
      *
-     * @param worker its id
+     * @param worker the worker's id
      * @param epoch the epoch of the ownership
-     * @param capacity what it holds
-     * @param foreign what still runs there that this box did not start
-     * @param accepting whether it may get new work
+     * @param capacity the worker's total resources
+     * @param orphanUsage the resources used by tasks that this box did not start
+     * @param accepting whether new tasks may be placed on the worker
      */
-    public void putWorker(String worker, long epoch, ComputeResources capacity, ComputeResources foreign,
+    public void putWorker(String worker, long epoch, ComputeResources capacity, ComputeResources orphanUsage,
             boolean accepting)
     {
         lock.lock();
@@ -88,9 +89,9 @@
         {
             OwnedWorker owned = workers.computeIfAbsent(worker, OwnedWorker::new);
             totalSlots += capacity.slots() - owned.capacity().slots();
-            owned.update(epoch, capacity, foreign, accepting);
-            reindex(owned);
-            serveWaiting();
+            owned.update(epoch, capacity, orphanUsage, accepting);
+            updateIndex(owned);
+            placeWaitingTasks();
         }
         finally
         {
@@ -99,10 +100,10 @@
     }
 
     /**
-     * Stops or resumes new work for a worker; unknown ones are ignored.
+     * Stops or resumes the placement of new tasks on a worker. Unknown workers are ignored.
      *
-     * @param worker its id
-     * @param accepting whether it may get new work
+     * @param worker the worker's id
+     * @param accepting whether new tasks may be placed on the worker
      */
     public void setAccepting(String worker, boolean accepting)
     {
@@ -110,11 +111,11 @@
         try
         {
             OwnedWorker owned = workers.get(worker);
-            if (owned != null && owned.accepting() != accepting)
+            if (owned != null && owned.isAccepting() != accepting)
             {
                 owned.setAccepting(accepting);
-                reindex(owned);
-                serveWaiting();
+                updateIndex(owned);
+                placeWaitingTasks();
             }
         }
         finally
@@ -124,9 +125,9 @@
     }
 
     /**
-     * Forgets a worker that this box no longer owns. What it started there is still released later.
+     * Removes a worker that this box no longer owns. Placements on it must still be released.
      *
-     * @param worker its id
+     * @param worker the worker's id
      */
     public void removeWorker(String worker)
     {
@@ -144,17 +145,17 @@
     }
 
     /**
-     * Places a task now or not at all, behind those that wait already.
+     * Places a task if that is possible without waiting.
      *
      * @param demand the task
-     * @return the decision, or empty where there is no room up
+     * @return the placement, or empty if the limits or the free capacity don't allow one
      */
     public Optional<Placement> tryPlace(TaskDemand demand)
     {
         lock.lock();
         try
         {
-            return decide(demand, 0);
+            return allocate(demand, 0);
         }
         finally
         {
@@ -163,24 +164,25 @@
     }
 
     /**
-     * Places a task, waiting for room until the given time.
+     * Places a task, waiting for free capacity until the given time.
      *
      * @param demand the task
-     * @param untilNanos when to give up, on the engine's clock
-     * @return the decision
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException with {@code NO_ROOM}, {@code QUEUE_FULL} or {@code PREEMPTED}
+     * @param timeoutAtNanos time at which the wait ends, on the engine's clock
+     * @return the placement
+     * @throws InterruptedException if the thread is interrupted while the task waits
+     * @throws GaugehollowException {@code NO_ROOM} after the timeout, {@code QUEUE_FULL} if the task
+     *             may not wait, {@code PREEMPTED} if a more urgent task took its place in the queue
      */
-    public Placement place(TaskDemand demand, long untilNanos) throws InterruptedException
+    public Placement place(TaskDemand demand, long timeoutAtNanos) throws InterruptedException
     {
         Waiter waiter;
         lock.lock();
         try
         {
-            Optional<Placement> now = decide(demand, 0);
-            if (now.isPresent())
+            Optional<Placement> placement = allocate(demand, 0);
+            if (placement.isPresent())
             {
-                return now.get();
+                return placement.get();
             }
             waiter = enqueue(demand);
         }
@@ -188,13 +190,13 @@
         {
             lock.unlock();
         }
-        return await(waiter, untilNanos);
+        return awaitDecision(waiter, timeoutAtNanos);
     }
 
     /**
-     * Frees what a task held.
+     * Frees the resources of a placement and places waiting tasks.
      *
-     * @param placement the decision that placed it
+     * @param placement the placement of the ended task
      */
     public void release(Placement placement)
     {
@@ -205,18 +207,18 @@
             runningByTeam.computeIfPresent(demand.team(), (team, count) -> count > 1 ? count - 1 : null);
             if (demand.taskClass() == TaskClass.BATCH)
             {
-                batchSlots -= demand.needs().slots();
+                usedBatchSlots -= demand.needs().slots();
             }
             OwnedWorker owned = workers.get(placement.worker());
             if (owned != null && owned.release(placement))
             {
-                reindex(owned);
+                updateIndex(owned);
             }
-            rate.released(nanoTime.getAsLong());
-            serveWaiting();
+            serviceRate.onRelease(nanoTime.getAsLong());
+            placeWaitingTasks();
             if (queue.size() == 0)
             {
-                rate.waitingEnded();
+                serviceRate.onQueueEmpty();
             }
         }
         finally
@@ -225,7 +227,7 @@
         }
     }
 
-    /** @return what all accepting workers have free together */
+    /** @return the sum of the free resources of all accepting workers */
     public ComputeResources free()
     {
         lock.lock();
@@ -244,7 +246,7 @@
         }
     }
 
-    /** @return how many tasks wait */
+    /** @return the number of waiting tasks */
     public int waiting()
     {
         lock.lock();
@@ -258,37 +260,39 @@
         }
     }
 
-    private Placement await(Waiter waiter, long untilNanos) throws InterruptedException
+    private Placement awaitDecision(Waiter waiter, long timeoutAtNanos) throws InterruptedException
     {
         try
         {
-            long wait = Math.max(0, untilNanos - nanoTime.getAsLong());
-            return waiter.decision().get(wait, TimeUnit.NANOSECONDS);
+            long remainingNanos = Math.max(0, timeoutAtNanos - nanoTime.getAsLong());
+            return waiter.decision().get(remainingNanos, TimeUnit.NANOSECONDS);
         }
         catch (TimeoutException e)
         {
-            return withdraw(waiter);
+            return resolveTimeout(waiter);
         }
         catch (InterruptedException e)
         {
-            giveBack(waiter);
+            cancel(waiter);
             throw e;
         }
         catch (ExecutionException | CancellationException e)
         {
-            throw new GaugehollowException(ResultCode.PREEMPTED, "a more urgent task took the waiting place",
-                    e);
+            throw new GaugehollowException(ResultCode.PREEMPTED,
+                    "removed from the full queue for a more urgent task", e);
         }
     }
 
-    private Placement withdraw(Waiter waiter)
+    /** Handles a timeout; the task may have been placed or shed in the meantime. */
+    private Placement resolveTimeout(Waiter waiter)
     {
         lock.lock();
         try
         {
             if (queue.remove(waiter))
             {
-                throw new GaugehollowException(ResultCode.NO_ROOM, "no worker had room in time");
+                throw new GaugehollowException(ResultCode.NO_ROOM,
+                        "no worker had enough free capacity before the timeout");
             }
         }
         finally
@@ -297,12 +301,14 @@
         }
         if (waiter.decision().isCompletedExceptionally())
         {
-            throw new GaugehollowException(ResultCode.PREEMPTED, "a more urgent task took the waiting place");
+            throw new GaugehollowException(ResultCode.PREEMPTED,
+                    "removed from the full queue for a more urgent task");
         }
         return waiter.decision().join();
     }
 
-    private void giveBack(Waiter waiter)
+    /** Removes a waiting task, or releases its placement if it has one already. */
+    private void cancel(Waiter waiter)
     {
         lock.lock();
         try
@@ -320,94 +326,93 @@
 
     private Waiter enqueue(TaskDemand demand)
     {
-        long now = nanoTime.getAsLong();
-        if (queue.size(demand.taskClass()) >= limits.waitingOf(demand.taskClass()))
+        long nowNanos = nanoTime.getAsLong();
+        if (queue.size(demand.taskClass()) >= limits.maxWaiting(demand.taskClass()))
         {
             throw new GaugehollowException(ResultCode.QUEUE_FULL,
-                    "too many " + demand.taskClass().label() + " tasks wait already");
+                    "too many waiting tasks of class " + demand.taskClass().label());
         }
-        refuseIfHopeless(demand, now);
+        rejectIfTooLate(demand, nowNanos);
         if (queue.size() >= limits.waitingInAll())
         {
-            shedFor(demand);
+            shedLessUrgentTask(demand);
         }
         if (queue.size() == 0)
         {
-            rate.waitingBegan(now);
+            serviceRate.onQueueNonEmpty(nowNanos);
         }
-        Waiter waiter = new Waiter(demand, now, sequence++);
+        Waiter waiter = new Waiter(demand, nowNanos, nextSequence++);
         queue.add(waiter);
         return waiter;
     }
 
-    /**
-     * A task whose turn would come after its caller has gone is refused at once, and told when to come
-     * back.
-     */
-    private void refuseIfHopeless(TaskDemand demand, long now)
+    /** Rejects a task whose estimated wait exceeds its deadline. */
+    private void rejectIfTooLate(TaskDemand demand, long nowNanos)
     {
-        long expected = rate.estimateNanos(queue.sizeUpTo(demand.taskClass()));
-        if (expected > demand.deadlineNanos() - now)
+        long expectedWaitNanos = serviceRate.estimateWaitNanos(queue.sizeAtLeastAsUrgent(demand.taskClass()));
+        if (expectedWaitNanos > demand.deadlineNanos() - nowNanos)
         {
-            throw new GaugehollowException(ResultCode.QUEUE_FULL, "its turn would come too late, in about "
-                    + TimeUnit.NANOSECONDS.toMillis(expected) + " ms");
+            throw new GaugehollowException(ResultCode.QUEUE_FULL, "estimated wait exceeds the deadline: "
+                    + TimeUnit.NANOSECONDS.toMillis(expectedWaitNanos) + " ms");
         }
     }
 
-    private void shedFor(TaskDemand demand)
+    private void shedLessUrgentTask(TaskDemand demand)
     {
-        Waiter shed = queue.leastUrgentBelow(demand.taskClass()).orElseThrow(
-                () -> new GaugehollowException(ResultCode.QUEUE_FULL, "too many tasks wait already"));
-        queue.remove(shed);
-        shed.decision().cancel(false);
+        Waiter victim = queue.leastUrgentBelow(demand.taskClass())
+                .orElseThrow(() -> new GaugehollowException(ResultCode.QUEUE_FULL, "too many waiting tasks"));
+        queue.remove(victim);
+        victim.decision().cancel(false);
     }
 
-    private void serveWaiting()
+    private void placeWaitingTasks()
     {
-        boolean placedOne = true;
-        while (placedOne && queue.size() > 0)
+        boolean placedAny = true;
+        while (placedAny && queue.size() > 0)
         {
-            placedOne = false;
+            placedAny = false;
             for (Waiter waiter : queue.heads())
             {
-                Optional<Placement> placement = decide(waiter.demand(), waiter.since());
+                Optional<Placement> placement = allocate(waiter.demand(), waiter.waitingSinceNanos());
                 if (placement.isPresent())
                 {
-                    queue.removeServed(waiter);
+                    queue.removePlaced(waiter);
                     waiter.decision().complete(placement.get());
-                    placedOne = true;
+                    placedAny = true;
                     break;
                 }
             }
         }
     }
 
-    private Optional<Placement> decide(TaskDemand demand, long waitingSince)
+    /** Allocates a task to a worker; {@code waitingSinceNanos} is 0 for a task that has not waited. */
+    private Optional<Placement> allocate(TaskDemand demand, long waitingSinceNanos)
     {
-        if (!withinShares(demand))
+        if (!isWithinLimits(demand))
         {
             return Optional.empty();
         }
         PolicyAssignments.Named policy = policies.policyFor(demand.taskClass(), demand.task());
-        Optional<String> chosen = policy.policy().choose(index, demand.needs());
-        if (chosen.isEmpty())
+        Optional<String> chosenWorker = policy.policy().choose(index, demand.needs());
+        if (chosenWorker.isEmpty())
         {
             return Optional.empty();
         }
-        OwnedWorker owned = workers.get(chosen.get());
-        long waited = waitingSince == 0 ? 0 : nanoTime.getAsLong() - waitingSince;
-        Placement placement = new Placement(demand, owned.id(), owned.epoch(), policy.name(), waited);
-        owned.take(placement);
+        OwnedWorker owned = workers.get(chosenWorker.get());
+        long waitedNanos = waitingSinceNanos == 0 ? 0 : nanoTime.getAsLong() - waitingSinceNanos;
+        Placement placement = new Placement(demand, owned.id(), owned.epoch(), policy.name(), waitedNanos);
+        owned.allocate(placement);
         runningByTeam.merge(demand.team(), 1, Integer::sum);
         if (demand.taskClass() == TaskClass.BATCH)
         {
-            batchSlots += demand.needs().slots();
+            usedBatchSlots += demand.needs().slots();
         }
-        reindex(owned);
+        updateIndex(owned);
         return Optional.of(placement);
     }
 
-    private boolean withinShares(TaskDemand demand)
+    /** Returns whether the team's task limit and the batch share allow the task. */
+    private boolean isWithinLimits(TaskDemand demand)
     {
         int running = runningByTeam.getOrDefault(demand.team(), 0);
         if (demand.teamLimit() > 0 && running >= demand.teamLimit())
@@ -418,12 +423,12 @@
         {
             return true;
         }
-        return batchSlots + demand.needs().slots() <= totalSlots * limits.batchShare();
+        return usedBatchSlots + demand.needs().slots() <= totalSlots * limits.batchShare();
     }
 
-    private void reindex(OwnedWorker owned)
+    private void updateIndex(OwnedWorker owned)
     {
-        if (owned.accepting())
+        if (owned.isAccepting())
         {
             index.put(owned.id(), owned.capacity(), owned.free());
         }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PolicyAssignments.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PolicyAssignments.java
@@ -11,14 +11,15 @@
 import org.gaugehollow.model.TaskClass;
 
 /**
- * Which policy governs which class at one configuration revision, comparisons included. Immutable.
+ * The placement policies and policy comparisons of the task classes at one configuration revision.
+ * Immutable.
  */
 public final class PolicyAssignments
 {
     private static final int PERCENT = 100;
 
     /**
-     * A policy under the name of its resource.
+     * A policy with the name of its configuration resource.
      *
      * @param name the resource's name
      * @param policy the policy
@@ -28,48 +29,50 @@
     }
 
     /**
-     * The two arms of a comparison.
+     * The two arms of a policy comparison.
      *
-     * @param comparison the resource's name
+     * @param comparison the name of the comparison's configuration resource
      * @param first the first arm
      * @param second the second arm
-     * @param secondPercent how many of a hundred tasks the second arm decides
+     * @param secondPercent percentage of tasks that the second arm places
      */
     public record Split(String comparison, Named first, Named second, int secondPercent)
     {
     }
 
-    private final Map<TaskClass, Named> governing;
-    private final Map<TaskClass, Split> splits;
+    private final Map<TaskClass, Named> policiesByClass;
+    private final Map<TaskClass, Split> splitsByClass;
     private final Named fallback;
 
     /**
-     * @param governing the policy of each class that has one
-     * @param splits the comparison of each class that has one
+     * @param policiesByClass the policies of the classes that have one
+     * @param splitsByClass the comparisons of the classes that have one
      * @param fallback the policy of all other classes
      */
-    public PolicyAssignments(Map<TaskClass, Named> governing, Map<TaskClass, Split> splits, Named fallback)
+    public PolicyAssignments(Map<TaskClass, Named> policiesByClass, Map<TaskClass, Split> splitsByClass,
+            Named fallback)
     {
-        this.governing = new EnumMap<>(TaskClass.class);
-        this.governing.putAll(governing);
-        this.splits = new EnumMap<>(TaskClass.class);
-        this.splits.putAll(splits);
+        this.policiesByClass = new EnumMap<>(TaskClass.class);
+        this.policiesByClass.putAll(policiesByClass);
+        this.splitsByClass = new EnumMap<>(TaskClass.class);
+        this.splitsByClass.putAll(splitsByClass);
         this.fallback = fallback;
     }
 
     /**
-     * The policy that decides a task. The same task always gets the same arm of a comparison.
+     * Returns the policy that places a task. The arm of a comparison is chosen by a hash of the task
+     * id, so a task always gets the same one.
      *
      * @param taskClass the task's class
      * @param task the task's id
-     * @return the policy under its name
+     * @return the policy and its name
      */
     public Named policyFor(TaskClass taskClass, String task)
     {
-        Split split = splits.get(taskClass);
+        Split split = splitsByClass.get(taskClass);
         if (split == null)
         {
-            return governing.getOrDefault(taskClass, fallback);
+            return policiesByClass.getOrDefault(taskClass, fallback);
         }
         long bucket = Long.remainderUnsigned(KeySlots.hash(split.comparison + '/' + task), PERCENT);
         return bucket < split.secondPercent ? split.second : split.first;
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PolicyRegistry.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PolicyRegistry.java
@@ -13,22 +13,22 @@
 import org.gaugehollow.model.PolicySpec;
 import org.gaugehollow.model.ResultCode;
 
-/** The policies that a resource may name, and how each is made from its parameters. */
+/** Registry of the policy types that a configuration resource may name. */
 public final class PolicyRegistry
 {
-    /** The policy for work whose waiting time counts most. */
+    /** The policy type that spreads load to keep waiting times short. */
     public static final String WAITING_FIRST = "waiting-first";
-    /** The policy for work whose packing counts most. */
+    /** The policy type that packs tasks onto few workers. */
     public static final String PACKING_FIRST = "packing-first";
-    private static final String RESERVE = "acceleratorReserve";
-    private static final String BALANCE = "balanceWeight";
-    private static final String STRAND = "strandWeight";
+    private static final String ACCELERATOR_RESERVE = "acceleratorReserve";
+    private static final String BALANCE_WEIGHT = "balanceWeight";
+    private static final String STRAND_WEIGHT = "strandWeight";
     private static final String SEED = "seed";
-    private static final double DEFAULT_WAITING_RESERVE = 0.25;
-    private static final double DEFAULT_PACKING_RESERVE = 10;
-    private static final double DEFAULT_BALANCE = 1;
-    private static final double DEFAULT_STRAND = 100;
-    private static final double LARGEST_PARAMETER = 1_000_000;
+    private static final double DEFAULT_WAITING_ACCELERATOR_RESERVE = 0.25;
+    private static final double DEFAULT_PACKING_ACCELERATOR_RESERVE = 10;
+    private static final double DEFAULT_BALANCE_WEIGHT = 1;
+    private static final double DEFAULT_STRAND_WEIGHT = 100;
+    private static final double MAX_PARAMETER_VALUE = 1_000_000;
 
     private record Entry(List<String> parameters, Function<Map<String, Double>, PlacementPolicy> factory)
     {
@@ -36,14 +36,16 @@
 
     private final Map<String, Entry> entries = new TreeMap<>();
 
-    /** Registers the policies of this library. */
+    /** Creates a registry with the built-in policy types. */
     public PolicyRegistry()
     {
-        register(WAITING_FIRST, List.of(RESERVE), p -> new ScoredPolicy(
-                new WaitingFirstScore(p.getOrDefault(RESERVE, DEFAULT_WAITING_RESERVE))));
-        register(PACKING_FIRST, List.of(RESERVE, BALANCE, STRAND),
-                p -> new ScoredPolicy(new PackingFirstScore(p.getOrDefault(RESERVE, DEFAULT_PACKING_RESERVE),
-                        p.getOrDefault(BALANCE, DEFAULT_BALANCE), p.getOrDefault(STRAND, DEFAULT_STRAND))));
+        register(WAITING_FIRST, List.of(ACCELERATOR_RESERVE), p -> new ScoredPolicy(new WaitingFirstScore(
+                p.getOrDefault(ACCELERATOR_RESERVE, DEFAULT_WAITING_ACCELERATOR_RESERVE))));
+        register(PACKING_FIRST, List.of(ACCELERATOR_RESERVE, BALANCE_WEIGHT, STRAND_WEIGHT),
+                p -> new ScoredPolicy(new PackingFirstScore(
+                        p.getOrDefault(ACCELERATOR_RESERVE, DEFAULT_PACKING_ACCELERATOR_RESERVE),
+                        p.getOrDefault(BALANCE_WEIGHT, DEFAULT_BALANCE_WEIGHT),
+                        p.getOrDefault(STRAND_WEIGHT, DEFAULT_STRAND_WEIGHT))));
         register("random", List.of(SEED), p -> new RandomPolicy(p.getOrDefault(SEED, 1.0).longValue()));
         register("round-robin", List.of(), p -> new RoundRobinPolicy());
         register("first-fit", List.of(),
@@ -53,11 +55,11 @@
     }
 
     /**
-     * Adds a policy.
+     * Registers a policy type.
      *
-     * @param type the name that resources use
-     * @param parameters the parameters it understands
-     * @param factory makes it from the parameters given
+     * @param type the type's name in configuration resources
+     * @param parameters the names of the accepted parameters
+     * @param factory creates a policy from the given parameter values
      */
     public void register(String type, List<String> parameters,
             Function<Map<String, Double>, PlacementPolicy> factory)
@@ -66,12 +68,12 @@
     }
 
     /**
-     * Makes a policy.
+     * Creates a policy.
      *
-     * @param spec what the resource says
+     * @param spec the policy's type and parameters
      * @return a new policy
-     * @throws GaugehollowException with {@link ResultCode#RESOURCE_INVALID} for an unknown type or
-     *             parameter
+     * @throws GaugehollowException {@link ResultCode#RESOURCE_INVALID} for an unknown type or parameter
+     *             or a value out of range
      */
     public PlacementPolicy create(PolicySpec spec)
     {
@@ -84,12 +86,12 @@
         {
             if (!entry.parameters.contains(parameter.getKey()))
             {
-                throw invalid("parameters: " + spec.type() + " understands " + entry.parameters);
+                throw invalid("parameters: " + spec.type() + " accepts " + entry.parameters);
             }
             double value = parameter.getValue();
-            if (!(value >= 0 && value <= LARGEST_PARAMETER))
+            if (!(value >= 0 && value <= MAX_PARAMETER_VALUE))
             {
-                throw invalid("parameters." + parameter.getKey() + ": expected 0 to " + LARGEST_PARAMETER);
+                throw invalid("parameters." + parameter.getKey() + ": expected 0 to " + MAX_PARAMETER_VALUE);
             }
         }
         return entry.factory.apply(spec.parameters());
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/RandomPolicy.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/RandomPolicy.java
@@ -12,13 +12,13 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.gaugehollow.model.ComputeResources;
 
-/** A baseline: any worker with room, at random. */
+/** Baseline policy that chooses a random worker among those with enough free resources. */
 public final class RandomPolicy implements PlacementPolicy
 {
     private final UniformRandomProvider random;
 
     /**
-     * @param seed the seed of the choices
+     * @param seed the seed of the random number generator
      */
     public RandomPolicy(long seed)
     {
@@ -28,10 +28,10 @@
     @Override
     public Optional<String> choose(WorkerIndex index, ComputeResources demand)
     {
-        List<String> fitting = index.workers().entrySet().stream()
+        List<String> candidates = index.workers().entrySet().stream()
                 .filter(e -> e.getValue().free().fits(demand)).map(Map.Entry::getKey).toList();
-        return fitting.isEmpty()
+        return candidates.isEmpty()
                 ? Optional.empty()
-                : Optional.of(fitting.get(random.nextInt(fitting.size())));
+                : Optional.of(candidates.get(random.nextInt(candidates.size())));
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/RoundRobinPolicy.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/RoundRobinPolicy.java
@@ -10,18 +10,18 @@
 
 import org.gaugehollow.model.ComputeResources;
 
-/** A baseline: the next worker with room after the one taken last. */
+/** Baseline policy that chooses the next worker by id with enough free resources. */
 public final class RoundRobinPolicy implements PlacementPolicy
 {
-    private String last = "";
+    private String lastWorker = "";
 
     @Override
     public Optional<String> choose(WorkerIndex index, ComputeResources demand)
     {
         NavigableMap<String, WorkerIndex.State> workers = index.workers();
-        Optional<String> found = firstFit(workers.tailMap(last, false), demand)
-                .or(() -> firstFit(workers.headMap(last, true), demand));
-        found.ifPresent(worker -> last = worker);
+        Optional<String> found = firstFit(workers.tailMap(lastWorker, false), demand)
+                .or(() -> firstFit(workers.headMap(lastWorker, true), demand));
+        found.ifPresent(worker -> lastWorker = worker);
         return found;
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/ServiceRate.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/ServiceRate.java
@@ -5,48 +5,47 @@
 package org.gaugehollow.placement;
 
 /**
- * How fast waiting tasks get their turn, from the times between releases while tasks wait. Not
- * thread-safe: its engine guards it.
+ * Estimates waiting times from the intervals between releases, as an exponential moving average.
+ * Intervals during which no task waits don't count. Not thread-safe: guarded by the engine's lock.
  */
 final class ServiceRate
 {
-    private static final double NEWEST_SHARE = 0.05;
+    private static final double SMOOTHING_FACTOR = 0.05;
 
-    private double meanNanos;
-    private long lastAt;
-    private boolean counting;
+    private double meanIntervalNanos;
+    private long intervalStartNanos;
+    private boolean tasksWaiting;
 
-    /**
-     * The first task begins to wait: only from here on do the times between releases say how fast the
-     * cell is.
-     */
-    void waitingBegan(long now)
+    /** Starts measuring when the first task is queued. */
+    void onQueueNonEmpty(long nowNanos)
     {
-        counting = true;
-        lastAt = now;
+        tasksWaiting = true;
+        intervalStartNanos = nowNanos;
     }
 
-    /** No task waits any more. */
-    void waitingEnded()
+    /** Stops measuring until the next task is queued. */
+    void onQueueEmpty()
     {
-        counting = false;
+        tasksWaiting = false;
     }
 
-    /** A task ended, and with it a place became free. */
-    void released(long now)
+    /** Records the release of a placement. */
+    void onRelease(long nowNanos)
     {
-        if (!counting)
+        if (!tasksWaiting)
         {
             return;
         }
-        double gap = now - lastAt;
-        meanNanos = meanNanos == 0 ? gap : meanNanos + (gap - meanNanos) * NEWEST_SHARE;
-        lastAt = now;
+        double intervalNanos = nowNanos - intervalStartNanos;
+        meanIntervalNanos = meanIntervalNanos == 0
+                ? intervalNanos
+                : meanIntervalNanos + (intervalNanos - meanIntervalNanos) * SMOOTHING_FACTOR;
+        intervalStartNanos = nowNanos;
     }
 
-    /** How long a task waits behind so many others, 0 while nothing is known. */
-    long estimateNanos(int ahead)
+    /** Returns the estimated wait behind the given number of tasks, or 0 without measurements. */
+    long estimateWaitNanos(int tasksAhead)
     {
-        return (long) (meanNanos * ahead);
+        return (long) (meanIntervalNanos * tasksAhead);
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/Waiter.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/Waiter.java
@@ -6,18 +6,18 @@
 
 import java.util.concurrent.CompletableFuture;
 
-/** A task that waits for room. */
+/** A task that waits for free capacity, with the future of its placement. */
 final class Waiter
 {
     private final TaskDemand demand;
-    private final long since;
+    private final long waitingSinceNanos;
     private final long sequence;
     private final CompletableFuture<Placement> decision = new CompletableFuture<>();
 
-    Waiter(TaskDemand demand, long since, long sequence)
+    Waiter(TaskDemand demand, long waitingSinceNanos, long sequence)
     {
         this.demand = demand;
-        this.since = since;
+        this.waitingSinceNanos = waitingSinceNanos;
         this.sequence = sequence;
     }
 
@@ -26,9 +26,9 @@
         return demand;
     }
 
-    long since()
+    long waitingSinceNanos()
     {
-        return since;
+        return waitingSinceNanos;
     }
 
     CompletableFuture<Placement> decision()
@@ -36,8 +36,8 @@
         return decision;
     }
 
-    /** Earliest deadline first, then first come. */
-    static int byDeadline(Waiter a, Waiter b)
+    /** Orders by deadline, then by arrival. */
+    static int compareByDeadline(Waiter a, Waiter b)
     {
         int order = Long.compare(a.demand.deadlineNanos() - b.demand.deadlineNanos(), 0);
         return order != 0 ? order : Long.compare(a.sequence, b.sequence);
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/WaitingFirstScore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/WaitingFirstScore.java
@@ -7,26 +7,25 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * Rates the least loaded worker best, for work whose waiting time counts most. Load is the fullest
- * of slots, processors and memory after the task was placed.
+ * Least-loaded score: prefers the worker with the lowest load, to keep waiting times short. Load is
+ * the highest used fraction of slots, CPU and memory after the placement.
  *
- * @param acceleratorReserve how much load is added for a worker with accelerators when the task
- *            needs none
+ * @param acceleratorReserve load added for a worker with free accelerators if the task needs none
  */
 public record WaitingFirstScore(double acceleratorReserve) implements WorkerScore
 {
     @Override
     public double score(ComputeResources capacity, ComputeResources free, ComputeResources demand)
     {
-        double slots = used(capacity.slots(), free.slots(), demand.slots());
-        double cpu = used(capacity.cpuMillis(), free.cpuMillis(), demand.cpuMillis());
-        double memory = used(capacity.memoryMib(), free.memoryMib(), demand.memoryMib());
+        double slots = usedFraction(capacity.slots(), free.slots(), demand.slots());
+        double cpu = usedFraction(capacity.cpuMillis(), free.cpuMillis(), demand.cpuMillis());
+        double memory = usedFraction(capacity.memoryMib(), free.memoryMib(), demand.memoryMib());
         double load = Math.max(slots, Math.max(cpu, memory));
         boolean reserved = demand.accelerators() == 0 && free.accelerators() > 0;
         return reserved ? load + acceleratorReserve : load;
     }
 
-    private static double used(int capacity, int free, int demand)
+    private static double usedFraction(int capacity, int free, int demand)
     {
         return capacity == 0 ? 0 : (capacity - free + demand) / (double) capacity;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/WaitingQueue.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/WaitingQueue.java
@@ -16,63 +16,73 @@
 import org.gaugehollow.model.TaskClass;
 
 /**
- * Tasks that wait for room. A more urgent class goes first; within a class the teams share by
- * weight, and within a team the earliest deadline goes first. Not thread-safe: its engine guards
- * it.
+ * Queue of tasks that wait for free capacity. More urgent classes are served first. Within a class,
+ * teams share by weight; within a team, the earliest deadline is served first. Not thread-safe:
+ * guarded by the engine's lock.
  */
 final class WaitingQueue
 {
-    /** The waiting tasks of one team in one class, and how much of its share the team has had. */
-    private static final class TeamLine
+    /**
+     * The waiting tasks of one team in one class. The virtual time rises by 1 / weight with each placed
+     * task; the team with the lowest one is served next.
+     */
+    private static final class TeamQueue
     {
-        private final TreeSet<Waiter> waiters = new TreeSet<>(Waiter::byDeadline);
-        private double served;
+        private final TreeSet<Waiter> waiters = new TreeSet<>(Waiter::compareByDeadline);
+        private double virtualTime;
     }
 
-    private final Map<TaskClass, Map<String, TeamLine>> lines = new EnumMap<>(TaskClass.class);
-    private final Map<TaskClass, Double> served = new EnumMap<>(TaskClass.class);
+    private final Map<TaskClass, Map<String, TeamQueue>> queuesByClass = new EnumMap<>(TaskClass.class);
+    private final Map<TaskClass, Double> maxVirtualTimes = new EnumMap<>(TaskClass.class);
     private int size;
 
+    /**
+     * Adds a waiting task. A new team starts at the highest virtual time of its class and gets no
+     * credit for the time in which it had no waiting tasks.
+     */
     void add(Waiter waiter)
     {
         TaskDemand demand = waiter.demand();
-        Map<String, TeamLine> teams = lines.computeIfAbsent(demand.taskClass(), c -> new HashMap<>());
-        TeamLine line = teams.get(demand.team());
-        if (line == null)
+        Map<String, TeamQueue> queuesByTeam = queuesByClass.computeIfAbsent(demand.taskClass(),
+                c -> new HashMap<>());
+        TeamQueue teamQueue = queuesByTeam.get(demand.team());
+        if (teamQueue == null)
         {
-            line = new TeamLine();
-            line.served = served.getOrDefault(demand.taskClass(), 0.0);
-            teams.put(demand.team(), line);
+            teamQueue = new TeamQueue();
+            teamQueue.virtualTime = maxVirtualTimes.getOrDefault(demand.taskClass(), 0.0);
+            queuesByTeam.put(demand.team(), teamQueue);
         }
-        if (line.waiters.add(waiter))
+        if (teamQueue.waiters.add(waiter))
         {
             size++;
         }
     }
 
+    /** Returns whether the task was in the queue. */
     boolean remove(Waiter waiter)
     {
-        Map<String, TeamLine> teams = lines.getOrDefault(waiter.demand().taskClass(), Map.of());
-        TeamLine line = teams.get(waiter.demand().team());
-        if (line == null || !line.waiters.remove(waiter))
+        Map<String, TeamQueue> queuesByTeam = queuesByClass.getOrDefault(waiter.demand().taskClass(),
+                Map.of());
+        TeamQueue teamQueue = queuesByTeam.get(waiter.demand().team());
+        if (teamQueue == null || !teamQueue.waiters.remove(waiter))
         {
             return false;
         }
         size--;
-        if (line.waiters.isEmpty())
+        if (teamQueue.waiters.isEmpty())
         {
-            teams.remove(waiter.demand().team());
+            queuesByTeam.remove(waiter.demand().team());
         }
         return true;
     }
 
-    /** Takes a waiter out because it is placed, and charges its team's share. */
-    void removeServed(Waiter waiter)
+    /** Removes a placed task and advances its team's virtual time. */
+    void removePlaced(Waiter waiter)
     {
         TaskDemand demand = waiter.demand();
-        TeamLine line = lines.get(demand.taskClass()).get(demand.team());
-        line.served += 1.0 / demand.teamWeight();
-        served.merge(demand.taskClass(), line.served, Math::max);
+        TeamQueue teamQueue = queuesByClass.get(demand.taskClass()).get(demand.team());
+        teamQueue.virtualTime += 1.0 / demand.teamWeight();
+        maxVirtualTimes.merge(demand.taskClass(), teamQueue.virtualTime, Math::max);
         remove(waiter);
     }
 
@@ -83,46 +93,46 @@
 
     int size(TaskClass taskClass)
     {
-        return lines.getOrDefault(taskClass, Map.of()).values().stream().mapToInt(l -> l.waiters.size())
-                .sum();
+        return queuesByClass.getOrDefault(taskClass, Map.of()).values().stream()
+                .mapToInt(teamQueue -> teamQueue.waiters.size()).sum();
     }
 
-    /** How many tasks of this class and of more urgent ones wait. */
-    int sizeUpTo(TaskClass taskClass)
+    /** Returns the number of waiting tasks of this class and of more urgent ones. */
+    int sizeAtLeastAsUrgent(TaskClass taskClass)
     {
         int sum = 0;
-        for (TaskClass each : TaskClass.values())
+        for (TaskClass candidate : TaskClass.values())
         {
-            sum += each.ordinal() <= taskClass.ordinal() ? size(each) : 0;
+            sum += candidate.ordinal() <= taskClass.ordinal() ? size(candidate) : 0;
         }
         return sum;
     }
 
-    /** @return the heads of the teams' lines in the order in which they are to be served */
+    /** @return the first task of each team, in the order in which they should be served */
     List<Waiter> heads()
     {
         List<Waiter> heads = new ArrayList<>();
         for (TaskClass taskClass : TaskClass.values())
         {
-            lines.getOrDefault(taskClass, Map.of()).values().stream()
-                    .sorted(Comparator.<TeamLine>comparingDouble(l -> l.served)
-                            .thenComparing(l -> l.waiters.first(), Waiter::byDeadline))
-                    .forEach(line -> heads.add(line.waiters.first()));
+            queuesByClass.getOrDefault(taskClass, Map.of()).values().stream()
+                    .sorted(Comparator.<TeamQueue>comparingDouble(teamQueue -> teamQueue.virtualTime)
+                            .thenComparing(teamQueue -> teamQueue.waiters.first(), Waiter::compareByDeadline))
+                    .forEach(teamQueue -> heads.add(teamQueue.waiters.first()));
         }
         return heads;
     }
 
     /**
-     * @return the waiter to shed for one of the given class: the last of the least urgent class below
-     *         it
+     * @return the task with the latest deadline in the least urgent class, if that class is less urgent
+     *         than the given one
      */
     Optional<Waiter> leastUrgentBelow(TaskClass taskClass)
     {
         TaskClass[] classes = TaskClass.values();
         for (int i = classes.length - 1; i > taskClass.ordinal(); i--)
         {
-            Optional<Waiter> last = lines.getOrDefault(classes[i], Map.of()).values().stream()
-                    .map(line -> line.waiters.last()).max(Waiter::byDeadline);
+            Optional<Waiter> last = queuesByClass.getOrDefault(classes[i], Map.of()).values().stream()
+                    .map(teamQueue -> teamQueue.waiters.last()).max(Waiter::compareByDeadline);
             if (last.isPresent())
             {
                 return last;
--- a/gaugehollow/src/test/java/org/gaugehollow/job/JobCodecTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/job/JobCodecTest.java
@@ -14,7 +14,7 @@
 import org.gaugehollow.job.JobProgress.TaskProgress;
 import org.junit.jupiter.api.Test;
 
-/** What is written comes back as it was, and little is written. */
+/** Guards against loss of data in stored records and against records with default values. */
 class JobCodecTest
 {
     private static final QueueSpec QUEUE = new QueueSpec("urgent", "service", 0, 2, 250, 1.5, null);
@@ -26,13 +26,13 @@
             new JobSpec("text", List.of(STEP, LATER_STEP), 0, 0, 0), 1_700_000_000_000L);
 
     @Test
-    void aRecordComesBackAsItWas()
+    void recordSurvivesRoundTrip()
     {
         assertThat(JobCodec.readRecord(JobCodec.writeRecord(RECORD))).isEqualTo(RECORD);
     }
 
     @Test
-    void theRecordOfAJobThatIsOverNamesItsQueueAndLittleElse()
+    void tombstoneKeepsOnlyIdAndQueueName()
     {
         byte[] written = JobCodec.writeRecord(RECORD.toTombstone());
         JobRecord read = JobCodec.readRecord(written);
@@ -43,7 +43,7 @@
     }
 
     @Test
-    void progressComesBackAsItWasAndLeavesOutWhatIsNotThere()
+    void progressSurvivesRoundTripWithoutDefaultValues()
     {
         JobProgress progress = new JobProgress("urgent", JobState.RUNNING,
                 List.of(new RoundProgress(
