--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/CellPlatform.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/CellPlatform.java
@@ -13,47 +13,59 @@
 import org.gaugehollow.worker.WorkerEntry;
 import org.gaugehollow.worker.WorkerPort;
 
-/** What a box needs of the platform it runs on. Implementations translate and decide nothing. */
+/**
+ * Platform services that a box needs. Implementations translate between formats and make no
+ * scheduling decisions.
+ */
 public interface CellPlatform
 {
     /** @return the platform's store */
     PlatformStore store();
 
-    /** @return the store's key of the operators' configuration */
+    /** @return the store's key of the cell's configuration */
     String configKey();
 
     /**
-     * @param value the value under {@link #configKey}
+     * Parses the configuration.
+     *
+     * @param value value of {@link #configKey}
      * @return the configuration
-     * @throws GaugehollowException {@code STORE_BAD_ANSWER} if the value is none
+     * @throws GaugehollowException {@code STORE_BAD_ANSWER} if the value is not a valid configuration
      */
     CellConfig readConfig(byte[] value);
 
-    /** @return the start of the store's keys that list the workers */
+    /** @return prefix of the store's keys that list the workers */
     String workerPrefix();
 
     /**
-     * @param key a key under {@link #workerPrefix}
-     * @param value its value
-     * @return the worker that the value describes
-     * @throws GaugehollowException {@code STORE_BAD_ANSWER} if it describes none that may be used
+     * Parses a worker's entry.
+     *
+     * @param key key with the prefix {@link #workerPrefix}
+     * @param value value of the key
+     * @return the worker's entry
+     * @throws GaugehollowException {@code STORE_BAD_ANSWER} if the value does not describe a usable
+     *             worker
      */
     WorkerEntry readWorker(String key, byte[] value);
 
     /**
-     * @param key a key under {@link #workerPrefix}
-     * @return the id of the worker that it lists
+     * Returns the id of the worker that a key lists.
+     *
+     * @param key key with the prefix {@link #workerPrefix}
+     * @return id of the worker
      */
     String workerId(String key);
 
     /**
-     * @param worker a worker
-     * @param mayOrder whether orders may be sent; asked on an event loop directly before each write, so
-     *            it must not block
-     * @return connections to that life of the worker
+     * Opens connections to a worker.
+     *
+     * @param worker the worker's entry
+     * @param maySendCommands returns whether commands may be sent; called on an event loop before each
+     *            write, so it must not block
+     * @return connections to that incarnation of the worker
      */
-    WorkerPort openWorker(WorkerEntry worker, BooleanSupplier mayOrder);
+    WorkerPort openWorker(WorkerEntry worker, BooleanSupplier maySendCommands);
 
-    /** @return this box's line to the advice service */
+    /** @return this box's connection to the advice service */
     AdvicePort advice();
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/CellState.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/CellState.java
@@ -26,14 +26,15 @@
 import org.gaugehollow.worker.WorkerEntry;
 
 /**
- * All that the cell's owner knows of jobs and workers. It sends and writes nothing: each change
- * returns what has to be sent and written. Every method must be called by a thread that holds the
- * ledger's monitor.
+ * In-memory state of the cell's jobs and workers, kept by the cell's owner. It performs no I/O:
+ * each change returns the {@link Effects} to send and store.
+ * <p>
+ * Not thread-safe. Every method must be called while holding this object's monitor.
  */
 final class CellState
 {
-    /** A worker lists at most this many ends at once; a full list may hide others. */
-    private static final int MOST_ENDS = 500;
+    /** Maximum number of run ends in a heartbeat reply; a full list may omit others. */
+    private static final int MAX_REPORTED_ENDS = 500;
 
     private final LongSupplier nanoTime;
     private final Map<String, Job> jobs = new HashMap<>();
@@ -43,14 +44,14 @@
     private final RunEndHandler runEnds;
     private final JobRestoration restoration;
     private final WeightRates rates = new WeightRates();
-    /** Accepted since jobs had their turns last, not rated yet. */
-    private final List<Job> fresh = new ArrayList<>();
+    /** Jobs accepted since the jobs were last ordered, whose rates are not computed yet. */
+    private final List<Job> unratedJobs = new ArrayList<>();
     private CellConfig config = CellConfig.NONE;
 
     /**
-     * @param nanoTime a monotonic clock
-     * @param unknownLeaseNanos how long after now a worker that cannot be reached may still run what an
-     *            earlier owner started
+     * @param nanoTime monotonic clock, in nanoseconds
+     * @param unknownLeaseNanos time for which an unreachable worker may still run tasks of an earlier
+     *            owner, in nanoseconds
      */
     CellState(LongSupplier nanoTime, long unknownLeaseNanos)
     {
@@ -62,24 +63,24 @@
         this.restoration = new JobRestoration(workers, crashGuard, nanoTime);
     }
 
-    /** Whether a job was read, be it over or not. */
-    boolean knows(String job)
+    /** Returns whether a job's record was read, including jobs that have ended. */
+    boolean isKnown(String job)
     {
         return jobs.containsKey(job) || retired.isFinished(job);
     }
 
-    /** Adds an accepted job; one that is known already is left as it is. */
+    /** Adds an accepted job. Has no effect if the job is already known. */
     Effects accept(JobRecord record, long revision, JobProgress progress, long wallMillis)
     {
         Effects effects = new Effects();
-        if (knows(record.id()))
+        if (isKnown(record.id()))
         {
             return effects;
         }
-        boolean isOver = record.hasEnded() || progress != null && progress.state().isFinal();
-        if (isOver)
+        boolean hasEnded = record.hasEnded() || progress != null && progress.state().isFinal();
+        if (hasEnded)
         {
-            acceptOver(record, revision, progress, effects);
+            acceptEnded(record, revision, progress, effects);
             return effects;
         }
         Job job = newJob(record, revision);
@@ -89,7 +90,7 @@
             restoration.restore(job, progress);
         }
         jobs.put(job.id(), job);
-        fresh.add(job);
+        unratedJobs.add(job);
         if (retired.takeCancellation(job.id()).filter(c -> c.appliesTo(record)).isPresent())
         {
             finish(job, JobState.CANCELLED, effects);
@@ -105,10 +106,10 @@
     }
 
     /**
-     * Runs of a job that is over may go on until their stops are known to be done; they take room and
-     * count against the customer's quota, whoever owns the cell.
+     * Adds a job that has already ended. Its runs may continue until their stops are confirmed; until
+     * then they use capacity and count against the customer's quota.
      */
-    private void acceptOver(JobRecord record, long revision, JobProgress progress, Effects effects)
+    private void acceptEnded(JobRecord record, long revision, JobProgress progress, Effects effects)
     {
         if (record.hasEnded() || progress.rounds() == null)
         {
@@ -122,12 +123,12 @@
         effects.changed(job);
     }
 
-    /** Cancels a job; the cancellation may be known before the job is. */
+    /** Cancels a job. The cancellation may arrive before the job itself. */
     Effects cancel(String id, Cancellation cancellation)
     {
         Effects effects = new Effects();
         Job job = jobs.get(id);
-        if (!knows(id))
+        if (!isKnown(id))
         {
             retired.cancelEarly(id, cancellation);
         }
@@ -138,15 +139,15 @@
         return effects;
     }
 
-    /** Whether nothing of a job is to be started any more, or its cancellation is known before it. */
-    boolean knowsCancelled(String id)
+    /** Returns whether a job has ended, or its cancellation arrived before its record. */
+    boolean isKnownCancelled(String id)
     {
         Job job = jobs.get(id);
         boolean isLive = job != null && !job.state().isFinal();
-        return !isLive && (knows(id) || retired.isCancelledEarly(id));
+        return !isLive && (isKnown(id) || retired.isCancelledEarly(id));
     }
 
-    /** Brings a job to its end; what runs of it is stopped. */
+    /** Ends a job and stops its runs. */
     static void finish(Job job, JobState state, Effects effects)
     {
         if (job.state().isFinal())
@@ -169,13 +170,15 @@
         }
     }
 
-    /** Forgets a job whose record is gone from the store. */
-    void forget(String id)
+    /** Removes a job whose record was deleted from the store. */
+    void onRecordRemoved(String id)
     {
-        retired.forget(id);
+        retired.remove(id);
     }
 
-    /** Drops a job of which nothing is left to do or to write: ends of its runs are then ignored. */
+    /**
+     * Removes a job that has finished and is completely written; later reports of its runs are ignored.
+     */
     void dropIfFinished(Job job)
     {
         if (job.isFinished() && !job.isUnwritten())
@@ -185,37 +188,40 @@
         }
     }
 
-    /** The jobs of which nothing is left to do. */
+    /** Returns the jobs that need no further work. */
     RetiredJobs retired()
     {
         return retired;
     }
 
-    /** Takes a newer configuration. */
+    /** Applies a newer configuration. */
     void configure(CellConfig newest)
     {
         config = newest;
         jobs.values().forEach(job -> newest.queue(job.queue().name()).ifPresent(job::setQueue));
     }
 
-    /** A worker's life is over or its lease has surely lapsed: nothing runs there any more. */
-    Effects onWorkerLost(TrackedWorker slot, WorkerLossCause end)
+    /**
+     * Handles the end of a worker's incarnation or the certain expiry of its lease: none of its runs
+     * remains.
+     */
+    Effects onWorkerLost(TrackedWorker worker, WorkerLossCause cause)
     {
         Effects effects = new Effects();
-        slot.setLeaseHeld(false);
-        slot.clearOrphanRuns();
-        List<Task> guilty = crashGuard.onWorkerLost(slot, end, effects);
-        for (Task task : slot.tasks())
+        worker.setLeaseHeld(false);
+        worker.clearOrphanRuns();
+        List<Task> poisonTasks = crashGuard.onWorkerLost(worker, cause, effects);
+        for (Task task : worker.tasks())
         {
-            effects.addLostRun(task, slot, end);
+            effects.addLostRun(task, worker, cause);
             releaseLost(task, effects);
         }
-        guilty.forEach(task -> giveUp(task, effects));
+        poisonTasks.forEach(task -> failPoisonTask(task, effects));
         failPoisonTasks(effects);
         return effects;
     }
 
-    /** Gives up the tasks that turn out to crash their workers. */
+    /** Fails the jobs of tasks that are found to crash their workers. */
     Effects failPoisonTasks()
     {
         Effects effects = new Effects();
@@ -223,19 +229,19 @@
         return effects;
     }
 
-    /** One task that is given up explains crashes of others, which may clear them. */
+    /** Fails poison tasks. Confirming one task may explain crashes of others and clear them. */
     private void failPoisonTasks(Effects effects)
     {
         for (Task task : crashGuard.check())
         {
             if (crashGuard.isPoison(task))
             {
-                giveUp(task, effects);
+                failPoisonTask(task, effects);
             }
         }
     }
 
-    private void giveUp(Task task, Effects effects)
+    private void failPoisonTask(Task task, Effects effects)
     {
         if (!task.step().job().state().isFinal())
         {
@@ -252,7 +258,8 @@
     }
 
     /**
-     * Nothing of a task runs any more where it was; a job that is over is written, and then dropped.
+     * Releases a task from its worker. If its job has ended, the job is written and can then be
+     * removed.
      */
     static void release(Task task, Effects effects)
     {
@@ -274,83 +281,86 @@
     }
 
     /**
-     * Takes note of what a worker answered to a look.
+     * Applies a worker's reply to a heartbeat.
      *
-     * @param slot the worker
-     * @param answer its answer
-     * @param lastSeen the number of the last end that was read before
-     * @param sentNanos when the look was sent
-     * @return what changed
+     * @param worker the worker
+     * @param reply the worker's reply
+     * @param lastEndNumber number of the last run end that was read before
+     * @param sentNanos time at which the heartbeat was sent
+     * @return the changes to send and store
      */
-    Effects applyHeartbeat(TrackedWorker slot, HeartbeatReply answer, long lastSeen, long sentNanos)
+    Effects applyHeartbeat(TrackedWorker worker, HeartbeatReply reply, long lastEndNumber, long sentNanos)
     {
         Effects effects = new Effects();
         long now = nanoTime.getAsLong();
-        slot.readClock(answer.clockMillis(), now);
-        slot.recordHeartbeat(now);
-        crashGuard.onWorkerResponded(slot);
-        for (EndedRun end : answer.ended())
+        worker.readClock(reply.clockMillis(), now);
+        worker.recordHeartbeat(now);
+        crashGuard.onWorkerResponded(worker);
+        for (EndedRun end : reply.ended())
         {
-            if (end.number() > lastSeen)
+            if (end.number() > lastEndNumber)
             {
-                runEnds.handle(slot, end, effects);
+                runEnds.handle(worker, end, effects);
             }
         }
-        Set<Task> present = new HashSet<>();
-        slot.clearOrphanRuns();
-        for (RunningRun run : answer.running())
+        Set<Task> reportedTasks = new HashSet<>();
+        worker.clearOrphanRuns();
+        for (RunningRun run : reply.running())
         {
-            running(slot, run, present, effects);
+            handleReportedRun(worker, run, reportedTasks, effects);
         }
-        if (answer.ended().size() < MOST_ENDS)
+        if (reply.ended().size() < MAX_REPORTED_ENDS)
         {
-            releaseMissing(slot, present, sentNanos, effects);
+            releaseMissingRuns(worker, reportedTasks, sentNanos, effects);
         }
         return effects;
     }
 
-    private void running(TrackedWorker slot, RunningRun run, Set<Task> present, Effects effects)
+    private void handleReportedRun(TrackedWorker worker, RunningRun run, Set<Task> reportedTasks,
+            Effects effects)
     {
         Task task = find(run.task());
-        if (task == null || !task.isAt(slot, run.run()))
+        if (task == null || !task.isAt(worker, run.run()))
         {
-            slot.addOrphanRun(task == null ? null : task.step());
-            effects.stopUnknown(slot, run.task(), run.run());
+            worker.addOrphanRun(task == null ? null : task.step());
+            effects.stopUnknown(worker, run.task(), run.run());
             return;
         }
         long now = nanoTime.getAsLong();
-        present.add(task);
+        reportedTasks.add(task);
         task.begun(now);
         task.observe(run.percent(), run.gauge(), now);
         saveCheckpoint(task, run.checkpoint());
     }
 
-    /** Keeps the state that a run has saved, for its whole gang if it has one. */
-    static void saveCheckpoint(Task task, String state)
+    /** Stores a run's checkpoint, for the whole gang if the task belongs to one. */
+    static void saveCheckpoint(Task task, String checkpoint)
     {
         if (task.step().spec().gang())
         {
-            task.step().savedByGang(state);
+            task.step().savedByGang(checkpoint);
         }
         else
         {
-            task.saved(state);
+            task.saved(checkpoint);
         }
     }
 
-    private void releaseMissing(TrackedWorker slot, Set<Task> present, long sentNanos, Effects effects)
+    private void releaseMissingRuns(TrackedWorker worker, Set<Task> reportedTasks, long sentNanos,
+            Effects effects)
     {
-        for (Task task : slot.tasks())
+        for (Task task : worker.tasks())
         {
-            boolean settledBefore = task.settledNanos() != Task.UNSETTLED && task.settledNanos() < sentNanos;
-            if (!present.contains(task) && settledBefore)
+            boolean wasSettledBefore = task.settledNanos() != Task.UNSETTLED
+                    && task.settledNanos() < sentNanos;
+            if (!reportedTasks.contains(task) && wasSettledBefore)
             {
                 releaseLost(task, effects);
             }
         }
     }
 
-    /** The task of a full name, if its job is known and not over. */
+    /** Returns the task with the given full name, or null if its job is unknown or was removed. */
     Task find(String fullName)
     {
         TaskName name = TaskName.parse(fullName);
@@ -358,30 +368,30 @@
         return job == null ? null : job.find(name);
     }
 
-    /** The jobs that have a task whose turn has come, in the order of their turns. */
+    /** Returns the jobs with a task that is ready to start, in scheduling order. */
     List<Job> waitingByUrgency(long wallMillis)
     {
-        rates.rate(fresh, config.customers());
-        fresh.clear();
+        rates.rate(unratedJobs, config.customers());
+        unratedJobs.clear();
         return JobOrder.waiting(jobs.values(), wallMillis);
     }
 
-    /** The priority of the least urgent queue that has tasks on workers; 0 goes first. */
+    /** Returns the priority of the least urgent queue with tasks on workers; 0 is the most urgent. */
     int leastUrgentRunning()
     {
-        int least = 0;
-        for (TrackedWorker slot : workers.all())
+        int lowestPriority = 0;
+        for (TrackedWorker worker : workers.all())
         {
-            for (Task task : slot.tasks())
+            for (Task task : worker.tasks())
             {
-                least = Math.max(least, task.step().job().queue().priority());
+                lowestPriority = Math.max(lowestPriority, task.step().job().queue().priority());
             }
         }
-        return least;
+        return lowestPriority;
     }
 
-    /** How many jobs of each queue have not begun; those with due times are left out. */
-    Map<String, Integer> pending()
+    /** Returns the number of jobs per queue that have not started, without repeated jobs. */
+    Map<String, Integer> countQueuedJobs()
     {
         Map<String, Integer> counts = new TreeMap<>();
         for (Job job : jobs.values())
@@ -394,13 +404,13 @@
         return counts;
     }
 
-    /** What is known of tasks that crash their workers. */
+    /** Returns the guard that detects tasks that crash their workers. */
     CrashGuard crashGuard()
     {
         return crashGuard;
     }
 
-    /** The workers, listed or not. */
+    /** Returns all tracked workers, whether or not they are listed. */
     TrackedWorkers slots()
     {
         return workers;
@@ -411,7 +421,7 @@
         return workers.all();
     }
 
-    /** Takes a worker's newest entry; returns its slot. */
+    /** Applies a worker's newest entry and returns the tracked worker. */
     TrackedWorker list(WorkerEntry entry)
     {
         return workers.list(entry);
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/ExpiringLeases.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/ExpiringLeases.java
@@ -27,50 +27,49 @@
 import org.gaugehollow.time.SteadyClock;
 
 /**
- * Records in the store which workers do not answer and when their leases are over at the latest.
- * The next owner then waits for the rest of such a lease; without the record it waits 14.6 s for
- * each worker that it cannot reach, and tasks of a worker that was lost before a change of owner
- * stood still for 26 s.
+ * Records in the store which workers are unresponsive and when their leases expire at the latest.
+ * After a change of owner, the new owner waits only until these leases have expired instead of the
+ * maximum lease time.
  * <p>
- * A lease that is recorded is not renewed: neither while the write of the record is under way nor
- * after, until the store has taken the worker out again. The record holds for the term that wrote
- * it and for the one that follows directly.
+ * The lease of a recorded worker is not renewed from the start of the write until the store has
+ * removed the worker from the record. The record is valid for the term that wrote it and for the
+ * next one.
  */
 final class ExpiringLeases implements SupervisedTask
 {
     /**
-     * How long a worker has not answered when it is recorded. A look over a new connection is answered
-     * well within that time where only a connection was lost (0.15 s and a round trip).
+     * Time without an answer after which a worker is recorded. Long enough for a heartbeat over a new
+     * connection where only a connection was lost.
      */
-    private static final long SILENCE_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final long MIN_UNRESPONSIVE_NANOS = TimeUnit.SECONDS.toNanos(1);
     /**
-     * A new worker is recorded only while the store answers, so that one that is back is not left
-     * without its lease for as long as the store is silent. Three renewals of the term.
+     * Maximum time since the store confirmed the term for a worker to be added. Otherwise a recovered
+     * worker could stay without a lease until the store answers again.
      */
-    private static final long STORE_ANSWERS_MILLIS = 900;
-    /** How long a worker that stays away is recorded after its lease is over. */
-    private static final long KEEP_NANOS = TimeUnit.SECONDS.toNanos(30);
+    private static final long MAX_UNCONFIRMED_MILLIS = 900;
+    /** Time for which a worker remains recorded after its lease has expired. */
+    private static final long RETENTION_NANOS = TimeUnit.SECONDS.toNanos(30);
     private static final long PERIOD_MILLIS = 200;
     private static final long RETRY_MILLIS = 60;
 
     private final PlatformStore store;
-    private final CellState ledger;
+    private final CellState cellState;
     private final OwnerLease owner;
     private final EventLog events;
     private final Semaphore wakeUps = new Semaphore(0);
-    /** By worker, when its lease is over. */
+    /** Expiry of each lease by worker id, in nanoseconds. */
     private final Map<String, Long> leaseEnds = new HashMap<>();
-    /** The workers that the store may have recorded, be it by a write whose outcome is not known. */
-    private final Set<String> mayBeRecorded = new HashSet<>();
+    /** Workers that the stored record may contain, including writes with unknown outcome. */
+    private final Set<String> possiblyRecorded = new HashSet<>();
     private long revision;
-    /** Whether the store surely holds the newest record of this term, or needs none. */
-    private boolean settled = true;
+    /** Whether the store is known to hold the newest record of this term, or needs none. */
+    private boolean synced = true;
 
     /**
-     * The value of the record.
+     * The stored record.
      *
-     * @param fence the fencing token of the term that wrote it
-     * @param millisLeft by worker, how long after the write its lease is over at the latest, in
+     * @param fence fencing token of the term that wrote the record
+     * @param millisLeft time from the write until the lease expires at the latest by worker id, in
      *            milliseconds
      */
     record LeaseRecord(long fence, Map<String, Long> millisLeft)
@@ -79,26 +78,26 @@
 
     /**
      * @param store the platform's store
-     * @param ledger the workers
-     * @param owner this box's ownership, under which it writes
-     * @param events where each write is recorded
+     * @param cellState state that tracks the workers
+     * @param owner this box's term
+     * @param events log for the writes
      */
-    ExpiringLeases(PlatformStore store, CellState ledger, OwnerLease owner, EventLog events)
+    ExpiringLeases(PlatformStore store, CellState cellState, OwnerLease owner, EventLog events)
     {
         this.store = store;
-        this.ledger = ledger;
+        this.cellState = cellState;
         this.owner = owner;
         this.events = events;
     }
 
-    /** Reads what the owner before recorded; comes before jobs and workers are known. */
+    /** Reads the record of the previous owner. Must be called before jobs and workers are read. */
     void read() throws InterruptedException
     {
         while (!owner.hasEnded())
         {
             try
             {
-                HedgedCall.read(() -> store.get(JobKeys.EXPIRING_LEASES)).ifPresent(this::takeOver);
+                HedgedCall.read(() -> store.get(JobKeys.EXPIRING_LEASES)).ifPresent(this::adopt);
                 return;
             }
             catch (GaugehollowException e)
@@ -109,26 +108,27 @@
         }
     }
 
-    private void takeOver(StoredValue value)
+    private void adopt(StoredValue value)
     {
         revision = value.modRevision();
-        LeaseRecord found = parse(value);
-        boolean isOfTermBefore = found.fence() != OwnerLease.UNKNOWN_FENCE
-                && found.fence() == owner.previousFence();
-        if (!isOfTermBefore || found.millisLeft() == null)
+        LeaseRecord leaseRecord = parse(value);
+        boolean isFromPreviousTerm = leaseRecord.fence() != OwnerLease.UNKNOWN_FENCE
+                && leaseRecord.fence() == owner.previousFence();
+        if (!isFromPreviousTerm || leaseRecord.millisLeft() == null)
         {
             return;
         }
         long now = SteadyClock.nanos();
-        found.millisLeft()
-                .forEach((id, left) -> leaseEnds.put(id, now + TimeUnit.MILLISECONDS.toNanos(left)));
-        mayBeRecorded.addAll(leaseEnds.keySet());
-        settled = false;
-        synchronized (ledger)
+        leaseRecord.millisLeft().forEach(
+                (id, remaining) -> leaseEnds.put(id, now + TimeUnit.MILLISECONDS.toNanos(remaining)));
+        possiblyRecorded.addAll(leaseEnds.keySet());
+        synced = false;
+        synchronized (cellState)
         {
-            ledger.slots().restoreExpiringLeases(leaseEnds);
+            cellState.slots().restoreExpiringLeases(leaseEnds);
         }
-        events.record(EventType.LAPSING_RECORDED, owner.box(), "taken over: " + found.millisLeft());
+        events.record(EventType.LAPSING_RECORDED, owner.box(),
+                "adopted from the previous term: " + leaseRecord.millisLeft());
     }
 
     private LeaseRecord parse(StoredValue value)
@@ -144,7 +144,7 @@
         }
     }
 
-    /** Looks at the workers soon. */
+    /** Triggers the next check of the workers. */
     void wake()
     {
         wakeUps.release();
@@ -155,12 +155,12 @@
     {
         while (!owner.hasEnded())
         {
-            synchronized (ledger)
+            synchronized (cellState)
             {
-                addSilent(SteadyClock.nanos());
-                dropAnswering(SteadyClock.nanos());
+                addUnresponsive(SteadyClock.nanos());
+                dropResponsive(SteadyClock.nanos());
             }
-            if (!settled || !leaseEnds.keySet().equals(mayBeRecorded))
+            if (!synced || !leaseEnds.keySet().equals(possiblyRecorded))
             {
                 write();
             }
@@ -171,48 +171,49 @@
         }
     }
 
-    private void addSilent(long now)
+    private void addUnresponsive(long now)
     {
-        if (owner.unconfirmedMillis() > STORE_ANSWERS_MILLIS)
+        if (owner.unconfirmedMillis() > MAX_UNCONFIRMED_MILLIS)
         {
             return;
         }
-        for (TrackedWorker slot : ledger.workers())
+        for (TrackedWorker worker : cellState.workers())
         {
-            boolean isNew = !leaseEnds.containsKey(slot.id());
-            if (isNew && !slot.isIdle() && slot.isUnresponsiveFor(SILENCE_NANOS, now))
+            boolean isNew = !leaseEnds.containsKey(worker.id());
+            if (isNew && !worker.isIdle() && worker.isUnresponsiveFor(MIN_UNRESPONSIVE_NANOS, now))
             {
-                ledger.slots().stopLeaseRenewal(slot);
-                leaseEnds.put(slot.id(), slot.leaseEndNanos());
+                cellState.slots().stopLeaseRenewal(worker);
+                leaseEnds.put(worker.id(), worker.leaseEndNanos());
             }
         }
     }
 
-    private void dropAnswering(long now)
+    private void dropResponsive(long now)
     {
         leaseEnds.entrySet().removeIf(entry ->
         {
-            boolean answers = ledger.worker(entry.getKey()).map(TrackedWorker::isResponsive).orElse(false);
-            return answers || now - entry.getValue() > KEEP_NANOS;
+            boolean isResponsive = cellState.worker(entry.getKey()).map(TrackedWorker::isResponsive)
+                    .orElse(false);
+            return isResponsive || now - entry.getValue() > RETENTION_NANOS;
         });
     }
 
     private void write() throws InterruptedException
     {
         Set<String> ids = Set.copyOf(leaseEnds.keySet());
-        StoreTransaction transaction = transaction();
-        mayBeRecorded.addAll(ids);
-        settled = false;
+        StoreTransaction transaction = createTransaction();
+        possiblyRecorded.addAll(ids);
+        synced = false;
         try
         {
-            Optional<Long> written = HedgedCall.write(() -> store.commit(transaction));
-            if (written.isEmpty())
+            Optional<Long> writtenRevision = HedgedCall.write(() -> store.commit(transaction));
+            if (writtenRevision.isEmpty())
             {
                 readRevision();
                 return;
             }
-            revision = written.get();
-            settled = true;
+            revision = writtenRevision.get();
+            synced = true;
         }
         catch (GaugehollowException e)
         {
@@ -220,10 +221,10 @@
             return;
         }
         events.record(EventType.LAPSING_RECORDED, owner.box(), "recorded: " + ids);
-        letRenew(ids);
+        resumeRenewals(ids);
     }
 
-    private StoreTransaction transaction()
+    private StoreTransaction createTransaction()
     {
         long now = SteadyClock.nanos();
         Map<String, Long> millisLeft = new TreeMap<>();
@@ -234,22 +235,24 @@
                 .put(JobKeys.EXPIRING_LEASES, Json.write(new LeaseRecord(owner.fence(), millisLeft)));
     }
 
-    /** Another write took effect, such as a late one or the same one sent before. */
+    /**
+     * Reads the current revision after another write took effect, such as a late one or a repeated one.
+     */
     private void readRevision() throws InterruptedException
     {
         revision = HedgedCall.read(() -> store.get(JobKeys.EXPIRING_LEASES)).map(StoredValue::modRevision)
                 .orElse(0L);
     }
 
-    /** Workers that the store has no longer recorded get their leases renewed again. */
-    private void letRenew(Set<String> ids)
+    /** Resumes lease renewal for the workers that were removed from the record. */
+    private void resumeRenewals(Set<String> ids)
     {
-        Set<String> left = new HashSet<>(mayBeRecorded);
-        left.removeAll(ids);
-        mayBeRecorded.retainAll(ids);
-        synchronized (ledger)
+        Set<String> removed = new HashSet<>(possiblyRecorded);
+        removed.removeAll(ids);
+        possiblyRecorded.retainAll(ids);
+        synchronized (cellState)
         {
-            left.forEach(ledger.slots()::resumeLeaseRenewal);
+            removed.forEach(cellState.slots()::resumeLeaseRenewal);
         }
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/JobReader.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/JobReader.java
@@ -22,50 +22,47 @@
 import org.gaugehollow.platform.PlatformStore;
 import org.gaugehollow.platform.StoredValue;
 
-/**
- * Feeds accepted and cancelled jobs to the ledger of a term, with what earlier owners recorded of
- * them.
- */
+/** Reads accepted and cancelled jobs and their recorded progress into the cell state of a term. */
 final class JobReader implements KeyFollower.Listener
 {
     private static final long LOAD_RETRY_MILLIS = 60;
-    /** How long the watch of jobs is given to tell of one that a peer told of. */
-    private static final long WATCH_MILLIS = 150;
+    /** Time for the watch to deliver a job that a peer has reported. */
+    private static final long WATCH_GRACE_MILLIS = 150;
 
     private final OwnerTerm term;
     private final PlatformStore store;
-    private final Runnable onListed;
-    /** Jobs whose progress cannot be read: what of them runs is not known, so nothing is started. */
+    private final Runnable onListingComplete;
+    /** Jobs with unreadable progress. They are not started, because their runs are unknown. */
     private final Set<String> unreadable = ConcurrentHashMap.newKeySet();
-    private Map<String, JobProgress> recorded = Map.of();
-    private volatile boolean listed;
+    private Map<String, JobProgress> recordedProgress = Map.of();
+    private volatile boolean listingComplete;
 
     /**
      * @param term the term
      * @param store the platform's store
-     * @param onListed runs once all jobs are known
+     * @param onListingComplete called once all jobs are known
      */
-    JobReader(OwnerTerm term, PlatformStore store, Runnable onListed)
+    JobReader(OwnerTerm term, PlatformStore store, Runnable onListingComplete)
     {
         this.term = term;
         this.store = store;
-        this.onListed = onListed;
+        this.onListingComplete = onListingComplete;
     }
 
-    /** Whether all jobs that were there at the begin of the term are known. */
+    /** Returns whether all jobs that existed at the start of the term were read. */
     boolean isListingComplete()
     {
-        return listed;
+        return listingComplete;
     }
 
-    /** Reads what earlier owners recorded; comes before the jobs are followed. */
+    /** Reads the progress recorded by earlier owners. Must be called before the jobs are followed. */
     void readProgress() throws InterruptedException
     {
         while (!term.lease().hasEnded())
         {
             try
             {
-                recorded = readAll(store.list(JobKeys.PROGRESS).values());
+                recordedProgress = parseProgress(store.list(JobKeys.PROGRESS).values());
                 return;
             }
             catch (GaugehollowException e)
@@ -75,59 +72,60 @@
         }
     }
 
-    private Map<String, JobProgress> readAll(List<StoredValue> values)
+    private Map<String, JobProgress> parseProgress(List<StoredValue> values)
     {
-        Map<String, JobProgress> found = new HashMap<>();
+        Map<String, JobProgress> progressById = new HashMap<>();
         for (StoredValue value : values)
         {
             String id = value.key().substring(JobKeys.PROGRESS.length());
             try
             {
-                found.put(id, JobCodec.readProgress(value.value()));
+                progressById.put(id, JobCodec.readProgress(value.value()));
             }
             catch (GaugehollowException e)
             {
                 unreadable.add(id);
-                term.events().record(EventType.JOB_UNREADABLE, id, "its progress: " + e.getMessage());
+                term.events().record(EventType.JOB_UNREADABLE, id, "progress: " + e.getMessage());
             }
         }
-        return found;
+        return progressById;
     }
 
     /**
-     * A box has written the record of a job. It is read if the watch does not tell of it soon, with the
-     * job's cancellation; a watch may hear nothing for a while though the store answers.
+     * Handles the notification that a job record was written. Reads the job and its cancellation if the
+     * watch does not deliver them soon; a watch may be interrupted while the store answers.
      */
     void onJobWritten(String job)
     {
-        OwnerTerm.inBackground("written-" + job, () -> readUnless(job, term.cellState()::knows));
+        OwnerTerm.inBackground("written-" + job, () -> readUnlessKnown(job, term.cellState()::isKnown));
     }
 
     /**
-     * A box has written the cancellation of a job, which is read likewise. Else what runs of the job
-     * goes on until the watch is opened anew, 2.7 s at most.
+     * Handles the notification that a job was cancelled. Reads the cancellation if the watch does not
+     * deliver it soon.
      */
     void onJobCancelled(String job)
     {
-        OwnerTerm.inBackground("cancelled-" + job, () -> readUnless(job, term.cellState()::knowsCancelled));
+        OwnerTerm.inBackground("cancelled-" + job,
+                () -> readUnlessKnown(job, term.cellState()::isKnownCancelled));
     }
 
-    private void readUnless(String job, Predicate<String> isKnown) throws InterruptedException
+    private void readUnlessKnown(String job, Predicate<String> isKnown) throws InterruptedException
     {
-        Thread.sleep(WATCH_MILLIS);
-        if (!listed || term.lease().hasEnded() || isKnown(job, isKnown))
+        Thread.sleep(WATCH_GRACE_MILLIS);
+        if (!listingComplete || term.lease().hasEnded() || isKnown(job, isKnown))
         {
             return;
         }
         try
         {
-            List<StoredValue> found = HedgedCall.read(() -> store.list(JobKeys.jobPrefix(job))).values();
-            boolean there = found.stream().anyMatch(value -> value.key().equals(JobKeys.job(job)));
-            if (there)
+            List<StoredValue> values = HedgedCall.read(() -> store.list(JobKeys.jobPrefix(job))).values();
+            boolean exists = values.stream().anyMatch(value -> value.key().equals(JobKeys.job(job)));
+            if (exists)
             {
-                putWhole(found);
+                applyValues(values);
             }
-            term.events().record(EventType.JOB_READ, job, there ? "" : "its record is gone");
+            term.events().record(EventType.JOB_READ, job, exists ? "" : "record not found");
         }
         catch (GaugehollowException e)
         {
@@ -135,8 +133,11 @@
         }
     }
 
-    /** The cancellation comes first, so that nothing of a cancelled job is started. */
-    private void putWhole(List<StoredValue> values)
+    /**
+     * Applies the values of a job. The cancellation is applied first, so that no task of a cancelled
+     * job is started.
+     */
+    private void applyValues(List<StoredValue> values)
     {
         values.forEach(value -> JobKeys.idOfCancel(value.key()).ifPresent(id -> cancel(id, value.value())));
         values.forEach(value -> JobKeys.idOfJob(value.key())
@@ -169,8 +170,8 @@
             Effects effects;
             synchronized (term.cellState())
             {
-                effects = term.cellState().accept(JobCodec.readRecord(value), revision, recorded.get(id),
-                        System.currentTimeMillis());
+                effects = term.cellState().accept(JobCodec.readRecord(value), revision,
+                        recordedProgress.get(id), System.currentTimeMillis());
             }
             term.apply(effects);
             term.wake();
@@ -196,19 +197,19 @@
     {
         synchronized (term.cellState())
         {
-            JobKeys.idOfJob(key).ifPresent(term.cellState()::forget);
-            JobKeys.idOfCancel(key).ifPresent(term.cellState()::forget);
+            JobKeys.idOfJob(key).ifPresent(term.cellState()::onRecordRemoved);
+            JobKeys.idOfCancel(key).ifPresent(term.cellState()::onRecordRemoved);
         }
     }
 
     @Override
     public void onListed(long revision)
     {
-        recorded = Map.of();
-        if (!listed)
+        recordedProgress = Map.of();
+        if (!listingComplete)
         {
-            listed = true;
-            onListed.run();
+            listingComplete = true;
+            onListingComplete.run();
         }
         term.wake();
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/JobRestoration.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/JobRestoration.java
@@ -12,8 +12,8 @@
 import org.gaugehollow.job.JobProgress.TaskProgress;
 
 /**
- * Puts a job back into the state that an earlier owner recorded. Not thread-safe; used under the
- * ledger's lock.
+ * Restores a job to the state recorded by an earlier owner. Not thread-safe; callers hold the
+ * monitor of the cell state.
  */
 final class JobRestoration
 {
@@ -22,9 +22,9 @@
     private final LongSupplier nanoTime;
 
     /**
-     * @param workers gets a slot for each worker on which a run may be
-     * @param crashGuard follows tasks under which workers have crashed
-     * @param nanoTime a monotonic clock
+     * @param workers registers each worker that may have a run
+     * @param crashGuard tracks the crash history of tasks
+     * @param nanoTime monotonic clock, in nanoseconds
      */
     JobRestoration(TrackedWorkers workers, CrashGuard crashGuard, LongSupplier nanoTime)
     {
@@ -33,17 +33,17 @@
         this.nanoTime = nanoTime;
     }
 
-    /** Takes over the state of a job and the runs that may be there. */
+    /** Restores the state of a job and its possible runs. */
     void restore(Job job, JobProgress progress)
     {
         job.setState(progress.state());
-        for (int k = 0; k < progress.rounds().size(); k++)
+        for (int roundIndex = 0; roundIndex < progress.rounds().size(); roundIndex++)
         {
-            RoundProgress round = progress.rounds().get(k);
-            List<Step> steps = job.round(k);
-            for (int s = 0; s < steps.size(); s++)
+            RoundProgress round = progress.rounds().get(roundIndex);
+            List<Step> steps = job.round(roundIndex);
+            for (int stepIndex = 0; stepIndex < steps.size(); stepIndex++)
             {
-                restoreStep(steps.get(s), round.steps().get(s).tasks());
+                restoreStep(steps.get(stepIndex), round.steps().get(stepIndex).tasks());
             }
         }
     }
@@ -53,9 +53,9 @@
         for (int i = 0; i < recorded.size(); i++)
         {
             TaskProgress progress = recorded.get(i);
-            TrackedWorker slot = progress.worker() == null ? null : workers.get(progress.worker());
+            TrackedWorker worker = progress.worker() == null ? null : workers.get(progress.worker());
             Task task = step.tasks().get(i);
-            task.restore(progress, slot, nanoTime.getAsLong());
+            task.restore(progress, worker, nanoTime.getAsLong());
             crashGuard.onTaskRestored(task);
         }
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/JobRetention.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/JobRetention.java
@@ -14,32 +14,32 @@
 import org.gaugehollow.platform.StoreTransaction;
 import org.gaugehollow.supervise.SupervisedTask;
 
-/** Removes the records of jobs that have been over for long enough, a few at a time. */
+/** Removes the records of finished jobs after the retention time, in small batches. */
 final class JobRetention implements SupervisedTask
 {
     private static final long PERIOD_MILLIS = 5_000;
-    /** Each job has three keys, and a transaction takes few. */
-    private static final int MOST_JOBS = 10;
+    /** Each job has three keys, and the size of a transaction is limited. */
+    private static final int MAX_JOBS_PER_REMOVAL = 10;
 
     private final PlatformStore store;
-    private final CellState ledger;
+    private final CellState cellState;
     private final OwnerLease owner;
     private final EventLog events;
     private final long retentionNanos;
 
     /**
      * @param store the platform's store
-     * @param ledger knows since when jobs are over
-     * @param owner this box's ownership, under which it removes
-     * @param events where trouble is recorded
-     * @param retentionNanos how long a job is shown after it is over; an owner counts from when it
-     *            learnt of it
+     * @param cellState state that knows when jobs ended
+     * @param owner this box's term
+     * @param events log for store failures
+     * @param retentionNanos time for which a finished job is kept, in nanoseconds, from when this owner
+     *            learned of its end
      */
-    JobRetention(PlatformStore store, CellState ledger, OwnerLease owner, EventLog events,
+    JobRetention(PlatformStore store, CellState cellState, OwnerLease owner, EventLog events,
             long retentionNanos)
     {
         this.store = store;
-        this.ledger = ledger;
+        this.cellState = cellState;
         this.owner = owner;
         this.events = events;
         this.retentionNanos = retentionNanos;
@@ -50,21 +50,21 @@
     {
         while (!owner.hasEnded())
         {
-            while (removeSome())
+            while (removeBatch())
             {
-                Thread.sleep(PERIOD_MILLIS / MOST_JOBS);
+                Thread.sleep(PERIOD_MILLIS / MAX_JOBS_PER_REMOVAL);
             }
             Thread.sleep(PERIOD_MILLIS);
         }
     }
 
-    /** Removes a few jobs; true if there may be more. */
-    boolean removeSome() throws InterruptedException
+    /** Removes a batch of jobs; returns whether there may be more. */
+    boolean removeBatch() throws InterruptedException
     {
         List<String> ids;
-        synchronized (ledger)
+        synchronized (cellState)
         {
-            ids = ledger.retired().retiredFor(retentionNanos, MOST_JOBS);
+            ids = cellState.retired().findRetiredFor(retentionNanos, MAX_JOBS_PER_REMOVAL);
         }
         if (ids.isEmpty())
         {
@@ -77,11 +77,12 @@
         }
         try
         {
-            return store.commit(removal).isPresent() && ids.size() == MOST_JOBS;
+            return store.commit(removal).isPresent() && ids.size() == MAX_JOBS_PER_REMOVAL;
         }
         catch (GaugehollowException e)
         {
-            events.record(EventType.PROGRESS_DELAYED, owner.box(), "removal of old jobs: " + e.getMessage());
+            events.record(EventType.PROGRESS_DELAYED, owner.box(),
+                    "finished jobs not removed: " + e.getMessage());
             return false;
         }
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Journal.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Journal.java
@@ -26,35 +26,35 @@
 import org.gaugehollow.time.SteadyClock;
 
 /**
- * Writes the progress of jobs in groups, one transaction after the other. Each transaction holds
- * only if this box still is the owner and if no other one took effect since the one before, so a
- * write that the store carries out late can never undo a newer one.
+ * Writes the progress of jobs in groups, one transaction at a time. Each transaction requires that
+ * this box is still the owner and that no other write took effect since the previous one, so a late
+ * write can never overwrite a newer one.
  */
 final class Journal implements SupervisedTask
 {
-    /** How many records fit into a transaction beside the keys of owner and journal. */
-    private static final int MOST_RECORDS = 28;
+    /** Maximum number of records in a transaction, in addition to the keys of owner and journal. */
+    private static final int MAX_RECORDS = 28;
     private static final int RETRY_MILLIS = 60;
-    /** The shortest time from one write to the next. */
-    private static final int PERIOD_MILLIS = 25;
+    /** Minimum time between the starts of two writes. */
+    private static final int MIN_WRITE_INTERVAL_MILLIS = 25;
     private static final long NANOS_PER_MILLI = 1_000_000L;
 
-    /** Jobs that were marked together. */
+    /** Jobs that were enqueued together. */
     private static final class Batch
     {
         private final Runnable onWritten;
-        private int left;
+        private int remaining;
 
         Batch(Runnable onWritten, int jobs)
         {
             this.onWritten = onWritten;
-            this.left = jobs;
+            this.remaining = jobs;
         }
 
-        void written()
+        void onJobWritten()
         {
-            left--;
-            if (left == 0)
+            remaining--;
+            if (remaining == 0)
             {
                 onWritten.run();
             }
@@ -62,35 +62,35 @@
     }
 
     private final PlatformStore store;
-    private final CellState ledger;
+    private final CellState cellState;
     private final OwnerLease owner;
     private final EventLog events;
-    private final Map<Job, List<Batch>> marked = new LinkedHashMap<>();
+    private final Map<Job, List<Batch>> pendingJobs = new LinkedHashMap<>();
     private long journalRevision;
-    private long writes;
+    private long writeCount;
 
     /**
      * @param store the platform's store
-     * @param ledger what is written
-     * @param owner this box's ownership, under which it writes
-     * @param events where trouble with the store is recorded
+     * @param cellState state that holds the jobs
+     * @param owner this box's term
+     * @param events log for store failures
      */
-    Journal(PlatformStore store, CellState ledger, OwnerLease owner, EventLog events)
+    Journal(PlatformStore store, CellState cellState, OwnerLease owner, EventLog events)
     {
         this.store = store;
-        this.ledger = ledger;
+        this.cellState = cellState;
         this.owner = owner;
         this.events = events;
         this.journalRevision = owner.fence();
     }
 
     /**
-     * Writes the jobs' progress soon.
+     * Enqueues jobs whose progress is to be written.
      *
      * @param jobs the jobs
-     * @param onWritten runs once the store has the progress of all of them; at once if there are none
+     * @param onWritten called once the progress of all jobs is stored; at once if there are none
      */
-    void mark(Collection<Job> jobs, Runnable onWritten)
+    void enqueue(Collection<Job> jobs, Runnable onWritten)
     {
         if (jobs.isEmpty())
         {
@@ -98,17 +98,17 @@
             return;
         }
         Batch batch = new Batch(onWritten, jobs.size());
-        synchronized (marked)
+        synchronized (pendingJobs)
         {
-            jobs.forEach(job -> marked.computeIfAbsent(job, key -> new ArrayList<>()).add(batch));
-            marked.notifyAll();
+            jobs.forEach(job -> pendingJobs.computeIfAbsent(job, key -> new ArrayList<>()).add(batch));
+            pendingJobs.notifyAll();
         }
     }
 
-    /** Writes the jobs' progress soon. */
-    void mark(Collection<Job> jobs)
+    /** Enqueues jobs whose progress is to be written. */
+    void enqueue(Collection<Job> jobs)
     {
-        mark(jobs, () ->
+        enqueue(jobs, () ->
         {
         });
     }
@@ -118,67 +118,69 @@
     {
         while (true)
         {
-            Map<Job, List<Batch>> group = take();
-            long begunNanos = SteadyClock.nanos();
+            Map<Job, List<Batch>> group = takeGroup();
+            long startNanos = SteadyClock.nanos();
             writeUntilDone(group);
-            group.forEach(this::written);
-            pauseAfter(begunNanos);
+            group.forEach(this::completeWrite);
+            pauseAfter(startNanos);
         }
     }
 
-    /** Lets changes gather for a moment, so that one write carries many. */
-    private static void pauseAfter(long begunNanos) throws InterruptedException
+    /** Waits for further changes, so that one write carries many. */
+    private static void pauseAfter(long startNanos) throws InterruptedException
     {
-        long sinceMillis = (SteadyClock.nanos() - begunNanos) / NANOS_PER_MILLI;
-        if (sinceMillis < PERIOD_MILLIS)
+        long elapsedMillis = (SteadyClock.nanos() - startNanos) / NANOS_PER_MILLI;
+        if (elapsedMillis < MIN_WRITE_INTERVAL_MILLIS)
         {
-            Thread.sleep(PERIOD_MILLIS - sinceMillis);
+            Thread.sleep(MIN_WRITE_INTERVAL_MILLIS - elapsedMillis);
         }
     }
 
-    private Map<Job, List<Batch>> take() throws InterruptedException
+    private Map<Job, List<Batch>> takeGroup() throws InterruptedException
     {
-        synchronized (marked)
+        synchronized (pendingJobs)
         {
-            while (marked.isEmpty())
+            while (pendingJobs.isEmpty())
             {
-                marked.wait();
+                pendingJobs.wait();
             }
             Map<Job, List<Batch>> group = new LinkedHashMap<>();
             int records = 0;
-            for (Map.Entry<Job, List<Batch>> entry : marked.entrySet())
+            for (Map.Entry<Job, List<Batch>> entry : pendingJobs.entrySet())
             {
-                records += recordsOf(entry.getKey());
-                if (records > MOST_RECORDS)
+                records += recordCount(entry.getKey());
+                if (records > MAX_RECORDS)
                 {
                     break;
                 }
                 group.put(entry.getKey(), entry.getValue());
             }
-            group.keySet().forEach(marked::remove);
+            group.keySet().forEach(pendingJobs::remove);
             return group;
         }
     }
 
-    /** Its progress, and the short record of a job that is over. */
-    private static int recordsOf(Job job)
+    /**
+     * Returns the number of records to write: the progress and, if the job has ended, its tombstone.
+     */
+    private static int recordCount(Job job)
     {
         return job.state().isFinal() ? 2 : 1;
     }
 
-    private void written(Job job, List<Batch> batches)
+    private void completeWrite(Job job, List<Batch> batches)
     {
-        synchronized (ledger)
+        synchronized (cellState)
         {
             job.endWrite();
-            ledger.dropIfFinished(job);
+            cellState.dropIfFinished(job);
         }
-        batches.forEach(Batch::written);
+        batches.forEach(Batch::onJobWritten);
     }
 
     private void writeUntilDone(Map<Job, List<Batch>> group) throws InterruptedException
     {
-        boolean troubled = false;
+        boolean isDelayReported = false;
         while (true)
         {
             try
@@ -190,9 +192,9 @@
             }
             catch (GaugehollowException e)
             {
-                if (!troubled)
+                if (!isDelayReported)
                 {
-                    troubled = true;
+                    isDelayReported = true;
                     events.record(EventType.PROGRESS_DELAYED, owner.box(), e.getMessage());
                 }
                 Thread.sleep(RETRY_MILLIS);
@@ -202,13 +204,13 @@
 
     private boolean writeOnce(Collection<Job> jobs) throws InterruptedException
     {
-        writes++;
+        writeCount++;
         StoreTransaction transaction = new StoreTransaction().require(JobKeys.OWNER, owner.ownerRevision())
                 .require(JobKeys.JOURNAL, journalRevision)
-                .put(JobKeys.JOURNAL, Json.write(new JournalMark(owner.box(), writes, owner.fence())));
-        synchronized (ledger)
+                .put(JobKeys.JOURNAL, Json.write(new JournalMark(owner.box(), writeCount, owner.fence())));
+        synchronized (cellState)
         {
-            put(jobs, transaction);
+            addRecords(jobs, transaction);
         }
         Optional<Long> revision = HedgedCall.write(() -> store.commit(transaction));
         if (revision.isPresent())
@@ -221,34 +223,34 @@
     }
 
     /**
-     * A job that came to its end after the group was taken is marked again for that, so its record may
-     * wait where there is no room.
+     * Adds the records of the jobs. A job that ended after the group was taken is enqueued again, so
+     * its tombstone may be left to the next write if the transaction is full.
      */
-    private static void put(Collection<Job> jobs, StoreTransaction transaction)
+    private static void addRecords(Collection<Job> jobs, StoreTransaction transaction)
     {
-        int room = MOST_RECORDS - jobs.size();
+        int remainingRecords = MAX_RECORDS - jobs.size();
         for (Job job : jobs)
         {
             job.beginWrite();
             transaction.put(JobKeys.progress(job.id()), JobCodec.writeProgress(job.progress()));
-            if (job.isFinished() && room > 0)
+            if (job.isFinished() && remainingRecords > 0)
             {
                 transaction.put(JobKeys.job(job.id()), JobCodec.writeRecord(job.record().toTombstone()));
-                room--;
+                remainingRecords--;
             }
         }
     }
 
     /**
-     * Another write took effect: a late one of this owner, or the same one sent before, or one of a
-     * newer owner.
+     * Reads the journal's revision after another write took effect: a late or repeated write of this
+     * owner, or one of a newer owner.
      */
     private void readRevision() throws InterruptedException
     {
         Optional<StoredValue> ownerKey = HedgedCall.read(() -> store.get(JobKeys.OWNER));
         if (ownerKey.isEmpty() || ownerKey.get().modRevision() != owner.ownerRevision())
         {
-            owner.end("another box wrote the owner's key");
+            owner.end("owner's key was written by another box");
             throw new GaugehollowException(ResultCode.NO_RIGHTS, "this box is no longer the owner");
         }
         journalRevision = HedgedCall.read(() -> store.get(JobKeys.JOURNAL)).map(StoredValue::modRevision)
@@ -256,11 +258,12 @@
     }
 
     /**
-     * The term that wrote the journal's key last. A term's first value is no {@link JournalMark}, but
-     * lies there since the write that began the term, whose revision is its token.
+     * Returns the term that wrote the journal's key last. The first value of a term isn't a
+     * {@link JournalMark}; it was written by the transaction that began the term, whose revision is the
+     * fencing token.
      *
      * @param journal the journal's key
-     * @return the term's fencing token, or {@link OwnerLease#UNKNOWN_FENCE} where the value names none
+     * @return fencing token of the term, or {@link OwnerLease#UNKNOWN_FENCE} if the value has none
      */
     static long fenceOf(StoredValue journal)
     {
@@ -277,9 +280,9 @@
     /**
      * The value of the journal's key.
      *
-     * @param box the box that wrote it
-     * @param write rises with each write
-     * @param fence the fencing token of the box's term
+     * @param box id of the box that wrote it
+     * @param write number of the write, which increases with each write
+     * @param fence fencing token of the box's term
      */
     record JournalMark(String box, long write, long fence)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerElection.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerElection.java
@@ -34,43 +34,47 @@
 import org.gaugehollow.time.SteadyClock;
 
 /**
- * Makes this box the cell's owner whenever there is none. The owner's key is tied to a lease, and
- * the revision of its write is the owner's fencing token.
+ * Elects the cell's owner. This box acquires ownership when there is no owner or the owner is
+ * suspected to be dead. The owner's key is tied to a lease, and the revision of its write is the
+ * owner's fencing token.
  */
 public final class OwnerElection implements SupervisedTask
 {
     private static final int LEASE_MILLIS = 1_000;
     private static final int RENEW_MILLIS = 300;
     private static final int RETRY_MILLIS = 100;
-    private static final int POLL_MILLIS = 2_000;
-    private static final long NO_OWNER = 0;
+    private static final int WATCH_POLL_MILLIS = 2_000;
+    private static final long NO_OWNER_REVISION = 0;
     private static final String TERM_SEPARATOR = "/";
-    private static final int MOST_JITTER_MILLIS = 30;
-    /** How much longer a box waits that others outrank. */
-    private static final int OUTRANKED_MILLIS = 400;
-    /** How long a term lasts at least before it is handed to a box of higher rank. */
-    private static final long SHORTEST_TERM_NANOS = TimeUnit.SECONDS.toNanos(6);
-    private static final String NOBODY = "";
+    private static final int MAX_JITTER_MILLIS = 30;
+    /** Delay before an outranked box tries to acquire ownership. */
+    private static final int OUTRANKED_DELAY_MILLIS = 400;
+    /** Minimum duration of a term before ownership is released to a higher-ranked box. */
+    private static final long MIN_TERM_NANOS = TimeUnit.SECONDS.toNanos(6);
+    private static final String NO_BOX = "";
 
-    /** How much longer a box waits than those that began later. */
-    private static final int ELDER_MILLIS = 60;
+    /** Delay before a longer-running box tries to acquire ownership. */
+    private static final int LONGER_RUNNING_DELAY_MILLIS = 60;
 
-    /** Compares this box with the others. */
+    /** Compares this box with the other boxes. */
     public interface Ranking
     {
         /**
-         * @param except a box that does not count
-         * @return whether another box is clearly more able to own the cell than this one
+         * Returns whether another box is clearly better suited to own the cell than this one.
+         *
+         * @param excludedBox id of a box to ignore, or empty
+         * @return whether this box is outranked
          */
-        boolean isOutranked(String except);
+        boolean isOutranked(String excludedBox);
 
         /**
-         * While boxes are restarted one after the other, those that began last will stay longest.
+         * Returns whether a comparable box was started later than this one. In a rolling restart, the box
+         * started last is expected to run longest.
          *
-         * @param except a box that does not count
-         * @return whether a box that can do about as much began later than this one
+         * @param excludedBox id of a box to ignore, or empty
+         * @return whether a comparable box was started later
          */
-        boolean isLongerRunning(String except);
+        boolean isLongerRunning(String excludedBox);
     }
 
     private final String box;
@@ -78,30 +82,30 @@
     private final Supplier<CellConfig> config;
     private final OwnerMonitor monitor;
     private final Ranking ranking;
-    private final AdviceDispatcher lines;
+    private final AdviceDispatcher adviceDispatcher;
     private final WorkerScore score;
     private final Supervisor supervisor;
     private final long retentionNanos;
     private final EventLog events;
-    private volatile OwnerLease current;
-    private volatile Optional<OwnerTerm> term = Optional.empty();
-    private volatile String owner = NOBODY;
+    private volatile OwnerLease currentLease;
+    private volatile Optional<OwnerTerm> currentTerm = Optional.empty();
+    private volatile String owner = NO_BOX;
     private volatile boolean resigned;
 
     /**
-     * @param box this box's id
+     * @param box id of this box
      * @param platform the platform
-     * @param config the newest configuration
-     * @param monitor finds out early that an owner is dead
-     * @param ranking tells whether other boxes should go first
-     * @param lines the boxes' lines to the advice service
+     * @param config supplier of the newest configuration
+     * @param monitor detects an owner's failure before its lease ends
+     * @param ranking ranks this box among the others
+     * @param adviceDispatcher dispatches calls to the advice service
      * @param score the placement policy
      * @param supervisor parent of the owner's tasks
-     * @param retentionSeconds how long a job is shown after it is over, in seconds
-     * @param events where terms are recorded
+     * @param retentionSeconds time for which a finished job is kept, in seconds
+     * @param events log for the events of terms
      */
     public OwnerElection(String box, CellPlatform platform, Supplier<CellConfig> config, OwnerMonitor monitor,
-            Ranking ranking, AdviceDispatcher lines, WorkerScore score, Supervisor supervisor,
+            Ranking ranking, AdviceDispatcher adviceDispatcher, WorkerScore score, Supervisor supervisor,
             int retentionSeconds, EventLog events)
     {
         this.box = box;
@@ -109,7 +113,7 @@
         this.config = config;
         this.monitor = monitor;
         this.ranking = ranking;
-        this.lines = lines;
+        this.adviceDispatcher = adviceDispatcher;
         this.score = score;
         this.supervisor = supervisor;
         this.retentionNanos = TimeUnit.SECONDS.toNanos(retentionSeconds);
@@ -127,11 +131,11 @@
                 if (!listing.values().isEmpty())
                 {
                     owner = boxOf(listing.values().getFirst());
-                    takeOver(awaitEnd(listing));
+                    replaceSuspectedOwner(awaitOwnerChange(listing));
                 }
                 else if (config.get().version() > 0)
                 {
-                    standWhereThereIsNoOwner();
+                    acquireVacantOwnership();
                 }
                 else
                 {
@@ -146,56 +150,59 @@
     }
 
     /**
-     * Boxes that are not the first choice leave others some time; the condition of the write decides.
+     * Tries to acquire ownership while there is no owner. Lower-ranked boxes wait first; the condition
+     * of the write decides between concurrent attempts.
      */
-    private void standWhereThereIsNoOwner() throws InterruptedException
+    private void acquireVacantOwnership() throws InterruptedException
     {
-        int wait = headStartMillis(NOBODY);
-        if (wait > 0)
+        int delayMillis = electionDelayMillis(NO_BOX);
+        if (delayMillis > 0)
         {
-            Thread.sleep(wait);
+            Thread.sleep(delayMillis);
             if (!platform.store().list(JobKeys.OWNER).values().isEmpty())
             {
                 return;
             }
         }
-        tryToOwn(NO_OWNER);
+        tryToAcquireOwnership(NO_OWNER_REVISION);
     }
 
-    /** How long this box leaves to others that should go first. */
-    private int headStartMillis(String except)
+    /** Returns the delay before this box tries to acquire ownership, in milliseconds. */
+    private int electionDelayMillis(String excludedBox)
     {
-        if (ranking.isOutranked(except))
+        if (ranking.isOutranked(excludedBox))
         {
-            return OUTRANKED_MILLIS;
+            return OUTRANKED_DELAY_MILLIS;
         }
-        return ranking.isLongerRunning(except) ? ELDER_MILLIS : 0;
+        return ranking.isLongerRunning(excludedBox) ? LONGER_RUNNING_DELAY_MILLIS : 0;
     }
 
-    /** Takes the cell from an owner that looks dead; nothing is to be done where its key changed. */
-    private void takeOver(Optional<StoredValue> suspected) throws InterruptedException
+    /** Replaces a suspected owner. Has no effect if the owner's key has changed. */
+    private void replaceSuspectedOwner(Optional<StoredValue> suspected) throws InterruptedException
     {
-        Thread.sleep(ThreadLocalRandom.current().nextInt(MOST_JITTER_MILLIS));
+        Thread.sleep(ThreadLocalRandom.current().nextInt(MAX_JITTER_MILLIS));
         if (suspected.isPresent() && !resigned)
         {
-            Thread.sleep(headStartMillis(boxOf(suspected.get())));
-            tryToOwn(suspected.get().modRevision());
+            Thread.sleep(electionDelayMillis(boxOf(suspected.get())));
+            tryToAcquireOwnership(suspected.get().modRevision());
         }
     }
 
     /**
-     * Waits until the owner's key changes or is gone, or until its owner looks dead; brings the key
-     * only in the latter case.
+     * Waits until the owner's key changes, or the owner is suspected to be dead. Returns the owner's
+     * key only in the latter case.
      */
-    private Optional<StoredValue> awaitEnd(StoreListing listing) throws InterruptedException
+    private Optional<StoredValue> awaitOwnerChange(StoreListing listing) throws InterruptedException
     {
-        StoredValue key = listing.values().getFirst();
-        CompletableFuture<Boolean> end = new CompletableFuture<>();
-        Thread change = OwnerTerm.inBackground("owner-change", () -> awaitChange(listing.revision(), end));
-        Thread suspicion = OwnerTerm.inBackground("owner-suspicion", () -> awaitSuspicion(key, end));
+        StoredValue ownerKey = listing.values().getFirst();
+        CompletableFuture<Boolean> isSuspected = new CompletableFuture<>();
+        Thread keyWatcher = OwnerTerm.inBackground("owner-change",
+                () -> awaitKeyChange(listing.revision(), isSuspected));
+        Thread suspicionWatcher = OwnerTerm.inBackground("owner-suspicion",
+                () -> awaitSuspicion(ownerKey, isSuspected));
         try
         {
-            return end.get() ? Optional.of(key) : Optional.empty();
+            return isSuspected.get() ? Optional.of(ownerKey) : Optional.empty();
         }
         catch (ExecutionException e)
         {
@@ -203,34 +210,37 @@
         }
         finally
         {
-            change.interrupt();
-            suspicion.interrupt();
+            keyWatcher.interrupt();
+            suspicionWatcher.interrupt();
         }
     }
 
-    private void awaitChange(long revision, CompletableFuture<Boolean> end) throws InterruptedException
+    private void awaitKeyChange(long revision, CompletableFuture<Boolean> isSuspected)
+            throws InterruptedException
     {
         try (StoreWatch watch = platform.store().watch(JobKeys.OWNER, revision + 1))
         {
             List<StoreChange> changes = List.of();
             while (changes.isEmpty() && !resigned)
             {
-                changes = watch.poll(POLL_MILLIS);
+                changes = watch.poll(WATCH_POLL_MILLIS);
             }
-            end.complete(false);
+            isSuspected.complete(false);
         }
         catch (GaugehollowException e)
         {
-            end.completeExceptionally(e);
+            isSuspected.completeExceptionally(e);
         }
     }
 
-    private void awaitSuspicion(StoredValue key, CompletableFuture<Boolean> end) throws InterruptedException
+    private void awaitSuspicion(StoredValue ownerKey, CompletableFuture<Boolean> isSuspected)
+            throws InterruptedException
     {
-        String owner = boxOf(key);
-        String why = monitor.awaitSuspicion(owner, key.modRevision());
-        events.record(EventType.OWNER_SUSPECTED, owner, "fence " + key.modRevision() + ": " + why);
-        end.complete(true);
+        String suspectedBox = boxOf(ownerKey);
+        String reason = monitor.awaitSuspicion(suspectedBox, ownerKey.modRevision());
+        events.record(EventType.OWNER_SUSPECTED, suspectedBox,
+                "fence " + ownerKey.modRevision() + ": " + reason);
+        isSuspected.complete(true);
     }
 
     private static String boxOf(StoredValue ownerKey)
@@ -239,22 +249,24 @@
     }
 
     /**
-     * Tries to become the owner.
+     * Tries to acquire ownership and, on success, serves the term.
      *
-     * @param replaced the revision of the key that is taken over, or {@link #NO_OWNER}
+     * @param replacedRevision revision of the replaced owner's key, or {@link #NO_OWNER_REVISION}
      */
-    private void tryToOwn(long replaced) throws InterruptedException
+    private void tryToAcquireOwnership(long replacedRevision) throws InterruptedException
     {
         PlatformStore store = platform.store();
         long storeLease = store.grantLease(LEASE_MILLIS);
-        byte[] term = (box + TERM_SEPARATOR + UUID.randomUUID()).getBytes(StandardCharsets.UTF_8);
-        StoreTransaction write = new StoreTransaction().require(JobKeys.OWNER, replaced)
-                .put(JobKeys.OWNER, term, storeLease).put(JobKeys.JOURNAL, term);
-        long previousFence = replaced == NO_OWNER ? requireJournalAsItIs(write) : replaced;
+        byte[] termId = (box + TERM_SEPARATOR + UUID.randomUUID()).getBytes(StandardCharsets.UTF_8);
+        StoreTransaction transaction = new StoreTransaction().require(JobKeys.OWNER, replacedRevision)
+                .put(JobKeys.OWNER, termId, storeLease).put(JobKeys.JOURNAL, termId);
+        long previousFence = replacedRevision == NO_OWNER_REVISION
+                ? requireUnchangedJournal(transaction)
+                : replacedRevision;
         Optional<Long> revision;
         try
         {
-            revision = HedgedCall.write(() -> store.commit(write));
+            revision = HedgedCall.write(() -> store.commit(transaction));
         }
         catch (GaugehollowException e)
         {
@@ -262,81 +274,86 @@
         }
         if (revision.isEmpty())
         {
-            revision = settle(term);
+            revision = findOwnRevision(termId);
         }
         if (revision.isPresent())
         {
-            serve(new OwnerLease(box, revision.get(), storeLease, previousFence));
+            serveTerm(new OwnerLease(box, revision.get(), storeLease, previousFence));
         }
     }
 
     /**
-     * Where there is no owner, the journal still names the term that ended last. The condition makes
-     * sure that no other term begins and ends before this one.
+     * Requires that the journal is unchanged, which ensures that no other term begins and ends before
+     * this one. Without an owner, only the journal identifies the previous term.
      *
-     * @param write the write that is to begin a term
-     * @return the fencing token of the term that ended last
+     * @param transaction the transaction that begins the term
+     * @return fencing token of the previous term
      */
-    private long requireJournalAsItIs(StoreTransaction write) throws InterruptedException
+    private long requireUnchangedJournal(StoreTransaction transaction) throws InterruptedException
     {
         Optional<StoredValue> journal = HedgedCall.read(() -> platform.store().get(JobKeys.JOURNAL));
-        write.require(JobKeys.JOURNAL, journal.map(StoredValue::modRevision).orElse(0L));
+        transaction.require(JobKeys.JOURNAL, journal.map(StoredValue::modRevision).orElse(0L));
         return journal.map(Journal::fenceOf).orElse(OwnerLease.UNKNOWN_FENCE);
     }
 
-    /** Finds out whether a write without an answer, or one of two, made this box the owner. */
-    private Optional<Long> settle(byte[] term) throws InterruptedException
+    /**
+     * Returns the revision of the owner's key if this term wrote it. Resolves writes whose outcome is
+     * unknown.
+     */
+    private Optional<Long> findOwnRevision(byte[] termId) throws InterruptedException
     {
-        Optional<StoredValue> owner = HedgedCall.read(() -> platform.store().get(JobKeys.OWNER));
-        boolean mine = owner.isPresent() && Arrays.equals(owner.get().value(), term);
-        return mine ? Optional.of(owner.get().modRevision()) : Optional.empty();
+        Optional<StoredValue> ownerKey = HedgedCall.read(() -> platform.store().get(JobKeys.OWNER));
+        boolean isOwn = ownerKey.isPresent() && Arrays.equals(ownerKey.get().value(), termId);
+        return isOwn ? Optional.of(ownerKey.get().modRevision()) : Optional.empty();
     }
 
-    private void serve(OwnerLease lease) throws InterruptedException
+    private void serveTerm(OwnerLease lease) throws InterruptedException
     {
-        current = lease;
-        long begunNanos = SteadyClock.nanos();
+        currentLease = lease;
+        long startNanos = SteadyClock.nanos();
         events.record(EventType.OWNER_BEGAN, box, "fence " + lease.fence());
-        Supervisor tasks = supervisor.child("term-" + lease.fence());
+        Supervisor termSupervisor = supervisor.child("term-" + lease.fence());
         owner = box;
-        try (OwnerTerm begun = new OwnerTerm(platform, lease, events, tasks, config, lines, score,
-                retentionNanos))
+        try (OwnerTerm newTerm = new OwnerTerm(platform, lease, events, termSupervisor, config,
+                adviceDispatcher, score, retentionNanos))
         {
-            term = Optional.of(begun);
-            tasks.start("lease", () -> renewForever(lease));
-            begun.begin();
+            currentTerm = Optional.of(newTerm);
+            termSupervisor.start("lease", () -> renewPeriodically(lease));
+            newTerm.begin();
             while (!lease.awaitEnd(RENEW_MILLIS))
             {
                 if (!lease.maySendCommands())
                 {
-                    lease.end("the store has not confirmed the term for too long");
+                    lease.end("term not confirmed by the store in time");
                 }
-                else if (SteadyClock.nanos() - begunNanos > SHORTEST_TERM_NANOS
-                        && ranking.isOutranked(NOBODY))
+                else if (SteadyClock.nanos() - startNanos > MIN_TERM_NANOS && ranking.isOutranked(NO_BOX))
                 {
-                    giveBack(lease, "a box of higher rank is there");
+                    releaseOwnership(lease, "a higher-ranked box is available");
                 }
             }
         }
         finally
         {
-            term = Optional.empty();
-            lease.end("the box stops");
-            events.record(EventType.OWNER_ENDED, box, "fence " + lease.fence() + ": " + lease.reason());
+            currentTerm = Optional.empty();
+            lease.end("box is stopping");
+            events.record(EventType.OWNER_ENDED, box, "fence " + lease.fence() + ": " + lease.endReason());
         }
     }
 
-    /** Renewals do not wait for each other, so that one lost or slow answer does not cost the lease. */
-    private void renewForever(OwnerLease lease) throws InterruptedException
+    /**
+     * Renews the lease periodically. Renewals run in parallel, so that a lost or slow reply doesn't
+     * cost the lease.
+     */
+    private void renewPeriodically(OwnerLease lease) throws InterruptedException
     {
         while (!lease.hasEnded())
         {
-            OwnerTerm.inBackground("renew-" + lease.fence(), () -> renew(lease));
+            OwnerTerm.inBackground("renew-" + lease.fence(), () -> renewLease(lease));
             Thread.sleep(RENEW_MILLIS);
         }
     }
 
-    private void renew(OwnerLease lease) throws InterruptedException
+    private void renewLease(OwnerLease lease) throws InterruptedException
     {
         try
         {
@@ -346,7 +363,7 @@
             }
             else
             {
-                lease.end("the store no longer knows the lease");
+                lease.end("lease not found in the store");
             }
         }
         catch (GaugehollowException e)
@@ -356,38 +373,39 @@
     }
 
     /**
-     * Gives ownership up at once and for good, so that another box takes over.
+     * Releases ownership permanently, so that another box takes over at once.
      *
-     * @throws InterruptedException if the process stops
+     * @throws InterruptedException if the thread is interrupted
      */
     public void resign() throws InterruptedException
     {
         resigned = true;
-        OwnerLease lease = current;
+        OwnerLease lease = currentLease;
         if (lease == null || lease.hasEnded())
         {
             return;
         }
-        giveBack(lease, "the box stops");
+        releaseOwnership(lease, "box is stopping");
     }
 
-    /** Ends the term and frees the owner's key, so that another box owns the cell at once. */
-    private void giveBack(OwnerLease lease, String why) throws InterruptedException
+    /** Ends the term and deletes the owner's key, so that another box can acquire ownership at once. */
+    private void releaseOwnership(OwnerLease lease, String reason) throws InterruptedException
     {
-        lease.end(why);
+        lease.end(reason);
         try
         {
             platform.store().revokeLease(lease.storeLease());
         }
         catch (GaugehollowException e)
         {
-            events.record(EventType.LEASE_NOT_RENEWED, box, "not given back: " + e.getMessage());
+            events.record(EventType.LEASE_NOT_RENEWED, box, "lease not revoked: " + e.getMessage());
         }
     }
 
     /**
-     * @return the box that owned the cell when this one last saw the owner's key; empty if none was
-     *         seen
+     * Returns the last known owner.
+     *
+     * @return id of the box named by the owner's key when it was last read; empty if none was read
      */
     public String owner()
     {
@@ -395,36 +413,40 @@
     }
 
     /**
-     * The record of a job was written; as the owner, this box makes sure that it hears of it.
+     * Notifies the current term, if this box is the owner, that a job record was written.
      *
-     * @param job the job's id
+     * @param job id of the job
      */
     public void onJobWritten(String job)
     {
-        term.ifPresent(begun -> begun.onJobWritten(job));
+        currentTerm.ifPresent(ownerTerm -> ownerTerm.onJobWritten(job));
     }
 
     /**
-     * A job was cancelled; as the owner, this box makes sure that it hears of it.
+     * Notifies the current term, if this box is the owner, that a job was cancelled.
      *
-     * @param job the job's id
+     * @param job id of the job
      */
     public void onJobCancelled(String job)
     {
-        term.ifPresent(begun -> begun.onJobCancelled(job));
+        currentTerm.ifPresent(ownerTerm -> ownerTerm.onJobCancelled(job));
     }
 
-    /** @return how long ago the store confirmed this box's newest term, in milliseconds */
+    /**
+     * Returns the time since the store last confirmed this box's newest term.
+     *
+     * @return time in milliseconds, or 0 if this box was never the owner
+     */
     public long unconfirmedMillis()
     {
-        OwnerLease lease = current;
+        OwnerLease lease = currentLease;
         return lease == null ? 0 : lease.unconfirmedMillis();
     }
 
     /** @return whether this box is the owner, as far as it knows */
     public boolean isOwner()
     {
-        OwnerLease lease = current;
+        OwnerLease lease = currentLease;
         return lease != null && !lease.hasEnded();
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerLease.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerLease.java
@@ -10,31 +10,31 @@
 
 import org.gaugehollow.time.SteadyClock;
 
-/** One term of a box as the cell's owner, from the write of the owner's key until it ends. */
+/** One term of a box as the cell's owner, from the write of the owner's key until the term ends. */
 final class OwnerLease
 {
     /**
-     * How long an owner goes on while the store does not answer it. Another owner counts on it when it
-     * waits for runs on workers that it cannot reach.
+     * Maximum time for which an owner sends commands without a confirmation by the store. A new owner
+     * relies on this limit when it waits for runs on unreachable workers.
      */
-    static final long LONGEST_SILENCE_NANOS = 8_000_000_000L;
+    static final long MAX_UNCONFIRMED_NANOS = 8_000_000_000L;
 
-    /** No term is known. */
+    /** Fencing token that stands for an unknown term. */
     static final long UNKNOWN_FENCE = 0;
 
     private final String box;
     private final long ownerRevision;
     private final long storeLease;
     private final long previousFence;
-    private final CountDownLatch over = new CountDownLatch(1);
-    private final AtomicReference<String> reason = new AtomicReference<>();
-    private volatile long contactNanos = SteadyClock.nanos();
+    private final CountDownLatch ended = new CountDownLatch(1);
+    private final AtomicReference<String> endReason = new AtomicReference<>();
+    private volatile long confirmedNanos = SteadyClock.nanos();
 
     /**
-     * @param box the box that owns the cell
-     * @param ownerRevision the revision of the owner's key; also the fencing token
-     * @param storeLease the store's lease that the key is tied to
-     * @param previousFence the fencing token of the term just before, or {@link #UNKNOWN_FENCE}
+     * @param box id of the box that owns the cell
+     * @param ownerRevision revision of the owner's key; also the fencing token
+     * @param storeLease id of the store's lease that the key is tied to
+     * @param previousFence fencing token of the previous term, or {@link #UNKNOWN_FENCE}
      */
     OwnerLease(String box, long ownerRevision, long storeLease, long previousFence)
     {
@@ -44,45 +44,47 @@
         this.storeLease = storeLease;
     }
 
-    /** Ends the term; only the first reason counts. */
-    void end(String why)
+    /** Ends the term. Only the first reason is kept. */
+    void end(String reason)
     {
-        reason.compareAndSet(null, why);
-        over.countDown();
+        endReason.compareAndSet(null, reason);
+        ended.countDown();
     }
 
-    /** The store has just confirmed the term. */
+    /** Records that the store has confirmed the term. */
     void recordConfirmation()
     {
-        contactNanos = SteadyClock.nanos();
+        confirmedNanos = SteadyClock.nanos();
     }
 
-    /** Whether orders may be sent: the store has confirmed the term not too long ago. */
+    /**
+     * Returns whether commands may be sent, that is, whether the store has confirmed the term recently.
+     */
     boolean maySendCommands()
     {
-        return !hasEnded() && SteadyClock.nanos() - contactNanos < LONGEST_SILENCE_NANOS;
+        return !hasEnded() && SteadyClock.nanos() - confirmedNanos < MAX_UNCONFIRMED_NANOS;
     }
 
-    /** How long ago the store confirmed the term, in milliseconds. */
+    /** Returns the time since the store last confirmed the term, in milliseconds. */
     long unconfirmedMillis()
     {
-        return TimeUnit.NANOSECONDS.toMillis(SteadyClock.nanos() - contactNanos);
+        return TimeUnit.NANOSECONDS.toMillis(SteadyClock.nanos() - confirmedNanos);
     }
 
     boolean hasEnded()
     {
-        return over.getCount() == 0;
+        return ended.getCount() == 0;
     }
 
-    /** Waits until the term is over; false if it goes on. */
+    /** Waits until the term has ended and returns whether it has. */
     boolean awaitEnd(long millis) throws InterruptedException
     {
-        return over.await(millis, TimeUnit.MILLISECONDS);
+        return ended.await(millis, TimeUnit.MILLISECONDS);
     }
 
-    String reason()
+    String endReason()
     {
-        return reason.get();
+        return endReason.get();
     }
 
     String box()
@@ -95,7 +97,7 @@
         return ownerRevision;
     }
 
-    /** The token that workers compare; rises from owner to owner. */
+    /** Returns the fencing token that workers compare. It increases with each term. */
     long fence()
     {
         return ownerRevision;
@@ -106,7 +108,7 @@
         return storeLease;
     }
 
-    /** The token of the term just before this one, or {@link #UNKNOWN_FENCE}. */
+    /** Returns the fencing token of the previous term, or {@link #UNKNOWN_FENCE}. */
     long previousFence()
     {
         return previousFence;
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerMonitor.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerMonitor.java
@@ -13,96 +13,95 @@
 import java.util.function.Predicate;
 
 /**
- * Finds out early that the cell's owner is dead or has lost the store, before its lease ends. An
- * owner that does not answer counts as dead only if most of the registered boxes do not hear from
- * it either: a box that is cut off from the others never takes over for that reason. A wrong
- * suspicion costs a change of owner and no more, because workers and store refuse the old owner.
+ * Detects that the cell's owner is dead or has lost the store before its lease ends. An
+ * unresponsive owner counts as dead only if it is unresponsive to most of the registered boxes, so
+ * an isolated box never takes over. A wrong suspicion only costs a change of owner, because workers
+ * and store reject the old owner.
  */
 public final class OwnerMonitor
 {
     /**
-     * How long the owner holds each call at least. Calls are what an idle box spends most on: with a
-     * hold of 1.5 s in place of 0.15 s, seven idle boxes took 15.8 s of processor time in place of 19.6
-     * s from their start to the 15th second (one run each). An owner that is silent is noticed 0.45 s
-     * after the end of the hold at the latest.
+     * Minimum time for which the owner holds each probe. Longer holds reduce the load of idle boxes but
+     * delay the detection of a dead owner.
      */
-    private static final int SHORTEST_HOLD_MILLIS = 250;
-    /**
-     * How much longer it holds them for each box, so that it answers some 100 calls a second however
-     * many boxes there are; with a hold of 0.15 s it answers 300 in a cell of 47 boxes.
-     */
-    private static final int HOLD_MILLIS_A_BOX = 10;
+    private static final int MIN_HOLD_MILLIS = 250;
+    /** Additional hold time per box, which bounds the rate of probes in large cells. */
+    private static final int HOLD_MILLIS_PER_BOX = 10;
     private static final int RETRY_MILLIS = 50;
+    /** Time at the start of a term in which the owner isn't suspected, while it restores its state. */
+    private static final long GRACE_PERIOD_NANOS = TimeUnit.SECONDS.toNanos(3);
     /**
-     * How long a term is left alone at its begin, while the new owner reads and looks at everything.
+     * Time without confirmation by the store after which an owner is suspected; it renews several times
+     * as often.
      */
-    private static final long GRACE_NANOS = TimeUnit.SECONDS.toNanos(3);
-    /** An owner renews several times as often. */
-    private static final long UNCONFIRMED_MILLIS = 750;
-    private static final int DENIALS = 3;
+    private static final long MAX_UNCONFIRMED_MILLIS = 750;
+    /** Number of consecutive probes denying ownership after which the owner counts as unresponsive. */
+    private static final int DENIAL_THRESHOLD = 3;
 
     private final OwnerProbe probe;
-    private final BooleanSupplier storeIsSteady;
+    private final BooleanSupplier isStoreStable;
     private final Predicate<String> isOutranked;
     private final LongSupplier nanoTime;
-    private volatile String silentOwner = "";
+    private volatile String unresponsiveOwner = "";
     private long graceTerm;
-    private long graceBegunNanos;
+    private long graceStartNanos;
 
     /**
-     * @param probe asks other boxes
-     * @param storeIsSteady whether the store has answered this box for a while
-     * @param isOutranked whether boxes other than the given one take over before this one, which then
-     *            leaves asking to them
-     * @param nanoTime a monotonic clock
+     * @param probe queries other boxes
+     * @param isStoreStable returns whether the store has answered this box without failures for a while
+     * @param isOutranked returns whether boxes other than the given one take over before this box,
+     *            which then doesn't query the other boxes
+     * @param nanoTime monotonic clock, in nanoseconds
      */
-    public OwnerMonitor(OwnerProbe probe, BooleanSupplier storeIsSteady, Predicate<String> isOutranked,
+    public OwnerMonitor(OwnerProbe probe, BooleanSupplier isStoreStable, Predicate<String> isOutranked,
             LongSupplier nanoTime)
     {
         this.probe = probe;
-        this.storeIsSteady = storeIsSteady;
+        this.isStoreStable = isStoreStable;
         this.isOutranked = isOutranked;
         this.nanoTime = nanoTime;
     }
 
     /**
-     * @param owner a box
-     * @return whether that box is the owner as far as this one knows and does not answer it
+     * Returns whether a box is the owner as far as this box knows, but doesn't answer it.
+     *
+     * @param owner id of a box
+     * @return whether that box is an unresponsive owner
      */
     public boolean isOwnerUnresponsive(String owner)
     {
-        return silentOwner.equals(owner);
+        return unresponsiveOwner.equals(owner);
     }
 
     /**
-     * Waits until the owner's term should be ended by another box.
+     * Waits until the owner should be replaced by another box.
      *
-     * @param owner the owner's box id
-     * @param term the owner's term; one that is awaited again is not left alone again
-     * @return why, for the log
-     * @throws InterruptedException if nobody wants to know any more
+     * @param owner id of the owner
+     * @param term the owner's term; the grace period applies once per term
+     * @return the reason, for the log
+     * @throws InterruptedException if the thread is interrupted
      */
     String awaitSuspicion(String owner, long term) throws InterruptedException
     {
-        long begunNanos = graceBegun(term);
-        int denials = 0;
+        long startNanos = graceStartNanos(term);
+        int deniedProbes = 0;
         try
         {
             while (true)
             {
-                OwnerProbe.Result standing = probe.probe(owner, owner, holdMillis());
-                denials = standing.reached() && !standing.owner() ? denials + 1 : 0;
-                boolean heard = standing.reached() && denials < DENIALS;
-                silentOwner = heard || !probe.peers().contains(owner) ? "" : owner;
-                if (nanoTime.getAsLong() - begunNanos > GRACE_NANOS)
+                OwnerProbe.Result result = probe.probe(owner, owner, holdMillis());
+                deniedProbes = result.reached() && !result.owner() ? deniedProbes + 1 : 0;
+                boolean isResponsive = result.reached() && deniedProbes < DENIAL_THRESHOLD;
+                unresponsiveOwner = isResponsive || !probe.peers().contains(owner) ? "" : owner;
+                if (nanoTime.getAsLong() - startNanos > GRACE_PERIOD_NANOS)
                 {
-                    String why = suspicion(owner, standing);
-                    if (why != null)
+                    String reason = suspicionReason(owner, result);
+                    if (reason != null)
                     {
-                        return why;
+                        return reason;
                     }
                 }
-                if (!standing.owner())
+                if (!result.owner())
                 {
                     Thread.sleep(RETRY_MILLIS);
                 }
@@ -110,78 +109,82 @@
         }
         finally
         {
-            silentOwner = "";
+            unresponsiveOwner = "";
         }
     }
 
-    /** When this box first heard of the term. */
-    private synchronized long graceBegun(long term)
+    /** Returns the time at which this box first observed the term. */
+    private synchronized long graceStartNanos(long term)
     {
         if (graceTerm != term)
         {
             graceTerm = term;
-            graceBegunNanos = nanoTime.getAsLong();
+            graceStartNanos = nanoTime.getAsLong();
         }
-        return graceBegunNanos;
+        return graceStartNanos;
     }
 
-    /** Why the owner should be replaced, or null. */
-    private String suspicion(String owner, OwnerProbe.Result standing) throws InterruptedException
+    /** Returns the reason to replace the owner, or null. */
+    private String suspicionReason(String owner, OwnerProbe.Result result) throws InterruptedException
     {
-        boolean unconfirmed = standing.owner() && standing.unconfirmedMillis() > UNCONFIRMED_MILLIS;
-        if (unconfirmed && storeIsSteady.getAsBoolean())
+        boolean isUnconfirmed = result.owner() && result.unconfirmedMillis() > MAX_UNCONFIRMED_MILLIS;
+        if (isUnconfirmed && isStoreStable.getAsBoolean())
         {
-            return "the store has not confirmed it for " + standing.unconfirmedMillis() + " ms";
+            return "not confirmed by the store for " + result.unconfirmedMillis() + " ms";
         }
-        boolean dead = isOwnerUnresponsive(owner) && !isOutranked.test(owner) && mostHearNothing(owner);
-        return dead ? "most boxes hear nothing from it" : null;
+        boolean isDead = isOwnerUnresponsive(owner) && !isOutranked.test(owner)
+                && isUnresponsiveToMajority(owner);
+        return isDead ? "unresponsive to most boxes" : null;
     }
 
     private int holdMillis()
     {
-        return Math.max(SHORTEST_HOLD_MILLIS, HOLD_MILLIS_A_BOX * probe.peers().size());
+        return Math.max(MIN_HOLD_MILLIS, HOLD_MILLIS_PER_BOX * probe.peers().size());
     }
 
     /**
-     * Whether this box and others that hear nothing from the owner are most of those registered. All
-     * are asked side by side: one that cannot be reached must not hold up the others' word.
+     * Returns whether the owner is unresponsive to most of the registered boxes. All boxes are queried
+     * in parallel, so that unreachable ones don't delay the result.
      */
-    private boolean mostHearNothing(String owner) throws InterruptedException
+    private boolean isUnresponsiveToMajority(String owner) throws InterruptedException
     {
         List<String> others = probe.peers().stream().filter(peer -> !peer.equals(owner)).toList();
-        BlockingQueue<Boolean> words = new LinkedBlockingQueue<>();
-        List<Thread> questions = others.stream().map(peer -> askInBackground(peer, owner, words)).toList();
+        BlockingQueue<Boolean> answers = new LinkedBlockingQueue<>();
+        List<Thread> probes = others.stream().map(peer -> probeInBackground(peer, owner, answers)).toList();
         try
         {
-            int boxes = others.size() + 1;
-            int deaf = 1;
-            int left = others.size();
-            while (left > 0 && deaf * 2 <= boxes && (deaf + left) * 2 > boxes)
+            int boxCount = others.size() + 1;
+            int unresponsiveCount = 1;
+            int pendingCount = others.size();
+            while (pendingCount > 0 && unresponsiveCount * 2 <= boxCount
+                    && (unresponsiveCount + pendingCount) * 2 > boxCount)
             {
-                deaf += words.take() ? 1 : 0;
-                left--;
+                unresponsiveCount += answers.take() ? 1 : 0;
+                pendingCount--;
             }
-            return boxes > 1 && deaf * 2 > boxes;
+            return boxCount > 1 && unresponsiveCount * 2 > boxCount;
         }
         finally
         {
-            questions.forEach(Thread::interrupt);
+            probes.forEach(Thread::interrupt);
         }
     }
 
-    /** A box that does not answer counts as one that hears the owner. */
-    private Thread askInBackground(String peer, String owner, BlockingQueue<Boolean> words)
+    /**
+     * Queries a box in the background. A box that doesn't answer counts as one that reaches the owner.
+     */
+    private Thread probeInBackground(String peer, String owner, BlockingQueue<Boolean> answers)
     {
         return OwnerTerm.inBackground("owner-word-" + peer, () ->
         {
-            boolean silent = false;
+            boolean isUnresponsive = false;
             try
             {
-                silent = probe.probe(peer, owner, 0).ownerUnresponsive();
+                isUnresponsive = probe.probe(peer, owner, 0).ownerUnresponsive();
             }
             finally
             {
-                words.add(silent);
+                answers.add(isUnresponsive);
             }
         });
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerProbe.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerProbe.java
@@ -6,20 +6,20 @@
 
 import java.util.Set;
 
-/** Asks other boxes about the cell's owner. */
+/** Queries other boxes about the cell's owner. */
 public interface OwnerProbe
 {
     /**
-     * What a box said.
+     * Result of a probe.
      *
-     * @param reached whether it answered at all
-     * @param owner whether it owns the cell
-     * @param unconfirmedMillis how long ago the store confirmed its term, in milliseconds
-     * @param silent whether the box that was asked about does not answer the one that was asked
+     * @param reached whether the queried box answered
+     * @param owner whether the queried box owns the cell
+     * @param unconfirmedMillis time since the store confirmed its term, in milliseconds
+     * @param ownerUnresponsive whether the owner doesn't answer the queried box
      */
     record Result(boolean reached, boolean owner, long unconfirmedMillis, boolean ownerUnresponsive)
     {
-        /** The box did not answer. */
+        /** Result for a box that did not answer. */
         public static final Result UNREACHED = new Result(false, false, 0, false);
     }
 
@@ -27,11 +27,14 @@
     Set<String> peers();
 
     /**
-     * @param box the box to ask
-     * @param owner the box to ask about
-     * @param waitMillis how long the owner keeps the call, so that its end is noticed at once
-     * @return what the box said
-     * @throws InterruptedException if the process stops
+     * Queries a box about the owner.
+     *
+     * @param box id of the box to query
+     * @param owner id of the owner
+     * @param waitMillis time for which the owner holds the call so that its end is noticed at once, in
+     *            milliseconds
+     * @return the result
+     * @throws InterruptedException if the thread is interrupted
      */
     Result probe(String box, String owner, int waitMillis) throws InterruptedException;
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerTerm.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerTerm.java
@@ -25,27 +25,30 @@
 import org.gaugehollow.worker.HeartbeatReply;
 import org.gaugehollow.worker.HeartbeatReply.EndedRun;
 
-/** The work of the cell's owner during one term: jobs in, decisions, orders out, ends written. */
+/**
+ * Runs the cell's owner during one term: reads jobs, plans, sends commands to workers and writes
+ * progress.
+ */
 final class OwnerTerm implements AutoCloseable
 {
-    private static final long LONGEST_WAIT_MILLIS = 200;
-    private static final long MILLIS_BETWEEN_PLANS = 3;
+    private static final long MAX_PLAN_WAIT_MILLIS = 200;
+    private static final long MIN_PLAN_PAUSE_MILLIS = 3;
     /**
-     * How many times as long as a plan took nothing is planned then, so that orders and looks have
-     * their turn on a busy processor.
+     * Pause after planning as a multiple of the planning time. Leaves processor time for commands and
+     * heartbeats.
      */
-    private static final int PAUSE_FOR_PLAN = 2;
+    private static final int PLAN_PAUSE_FACTOR = 2;
     /**
-     * How often the list of workers is read; each worker writes there more often than once in two
+     * Interval at which the list of workers is read. Workers update their entries at least every two
      * seconds.
      */
-    private static final int WORKERS_MILLIS = 700;
+    private static final int WORKER_POLL_MILLIS = 700;
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    /** How long after its lease a run may take to end. */
-    private static final long END_MARGIN_NANOS = 400 * NANOS_PER_MILLI;
-    /** How long runs of an earlier owner may live on a worker that this one cannot reach. */
-    private static final long UNKNOWN_LEASE_NANOS = OwnerLease.LONGEST_SILENCE_NANOS
-            + (long) (WorkerSession.LEASE_MILLIS * 1.02) * NANOS_PER_MILLI + END_MARGIN_NANOS;
+    /** Time that a run may take to end after its lease has expired. */
+    private static final long RUN_END_MARGIN_NANOS = 400 * NANOS_PER_MILLI;
+    /** Maximum time for which runs of an earlier owner may continue on an unreachable worker. */
+    private static final long MAX_UNKNOWN_LEASE_NANOS = OwnerLease.MAX_UNCONFIRMED_NANOS
+            + (long) (WorkerSession.LEASE_MILLIS * 1.02) * NANOS_PER_MILLI + RUN_END_MARGIN_NANOS;
 
     private final CellPlatform platform;
     private final OwnerLease lease;
@@ -53,22 +56,23 @@
     private final Supervisor supervisor;
     private final Supplier<CellConfig> config;
     private final long retentionNanos;
-    private final CellState ledger = new CellState(SteadyClock::nanos, UNKNOWN_LEASE_NANOS);
+    private final CellState cellState = new CellState(SteadyClock::nanos, MAX_UNKNOWN_LEASE_NANOS);
     private final Journal journal;
-    private final AdviceCache desk;
+    private final AdviceCache adviceCache;
     private final Planner planner;
     private final QuotaWatch quotaWatch;
     private final Evacuation evacuation;
     private final StallGuard stallGuard;
     private final SlowWorkerGuard slowWorkerGuard;
-    private final UnresponsiveWorkerGuard silentWorkerGuard;
+    private final UnresponsiveWorkerGuard unresponsiveWorkerGuard;
     private final Semaphore wakeUps = new Semaphore(0);
-    private final JobReader jobs;
-    private final ExpiringLeases lapsing;
-    private final WorkerSessions roster;
+    private final JobReader jobReader;
+    private final ExpiringLeases expiringLeases;
+    private final WorkerSessions workerSessions;
 
     OwnerTerm(CellPlatform platform, OwnerLease lease, EventLog events, Supervisor supervisor,
-            Supplier<CellConfig> config, AdviceDispatcher lines, WorkerScore score, long retentionNanos)
+            Supplier<CellConfig> config, AdviceDispatcher adviceDispatcher, WorkerScore score,
+            long retentionNanos)
     {
         this.retentionNanos = retentionNanos;
         this.platform = platform;
@@ -76,74 +80,74 @@
         this.events = events;
         this.supervisor = supervisor;
         this.config = config;
-        this.journal = new Journal(platform.store(), ledger, lease, events);
-        this.desk = new AdviceCache(ledger, lines, this::wake);
-        this.planner = new Planner(ledger, desk, score);
+        this.journal = new Journal(platform.store(), cellState, lease, events);
+        this.adviceCache = new AdviceCache(cellState, adviceDispatcher, this::wake);
+        this.planner = new Planner(cellState, adviceCache, score);
         this.quotaWatch = new QuotaWatch(events);
-        this.evacuation = new Evacuation(ledger);
-        this.stallGuard = new StallGuard(ledger);
-        this.slowWorkerGuard = new SlowWorkerGuard(ledger);
-        this.silentWorkerGuard = new UnresponsiveWorkerGuard(ledger);
-        this.jobs = new JobReader(this, platform.store(), this::followWorkers);
-        this.roster = new WorkerSessions(this, platform, supervisor, config);
-        this.lapsing = new ExpiringLeases(platform.store(), ledger, lease, events);
+        this.evacuation = new Evacuation(cellState);
+        this.stallGuard = new StallGuard(cellState);
+        this.slowWorkerGuard = new SlowWorkerGuard(cellState);
+        this.unresponsiveWorkerGuard = new UnresponsiveWorkerGuard(cellState);
+        this.jobReader = new JobReader(this, platform.store(), this::startWorkerTasks);
+        this.workerSessions = new WorkerSessions(this, platform, supervisor, config);
+        this.expiringLeases = new ExpiringLeases(platform.store(), cellState, lease, events);
     }
 
-    /** Reads what earlier owners recorded and begins to work. */
+    /** Restores the state recorded by earlier owners and starts the tasks of the term. */
     void begin() throws InterruptedException
     {
-        lapsing.read();
-        jobs.readProgress();
+        expiringLeases.read();
+        jobReader.readProgress();
         supervisor.start("journal", journal);
-        supervisor.start("lapsing", lapsing);
-        supervisor.start("jobs", new KeyFollower(platform.store(), JobKeys.JOBS, jobs, events));
-        supervisor.start("planner", this::planForever);
+        supervisor.start("lapsing", expiringLeases);
+        supervisor.start("jobs", new KeyFollower(platform.store(), JobKeys.JOBS, jobReader, events));
+        supervisor.start("planner", this::planPeriodically);
         supervisor.start("retention",
-                new JobRetention(platform.store(), ledger, lease, events, retentionNanos));
+                new JobRetention(platform.store(), cellState, lease, events, retentionNanos));
     }
 
-    /** A box has written the record of a job. */
+    /** Handles the notification that a job record was written. */
     void onJobWritten(String job)
     {
-        jobs.onJobWritten(job);
+        jobReader.onJobWritten(job);
     }
 
-    /** A box has written the cancellation of a job. */
+    /** Handles the notification that a job was cancelled. */
     void onJobCancelled(String job)
     {
-        jobs.onJobCancelled(job);
+        jobReader.onJobCancelled(job);
     }
 
     /**
-     * Workers are looked at, and waiting jobs counted, only once all jobs are known: an end of an
-     * unknown job would be lost.
+     * Starts the tasks that need the complete list of jobs. Run ends of unknown jobs would be lost if
+     * heartbeats started earlier.
      */
-    private void followWorkers()
+    private void startWorkerTasks()
     {
-        supervisor.start("summary", new SummaryWriter(platform.store(), ledger, lease));
-        supervisor.start("workers",
-                new KeyPoller(platform.store(), platform.workerPrefix(), WORKERS_MILLIS, roster, events));
+        supervisor.start("summary", new SummaryWriter(platform.store(), cellState, lease));
+        supervisor.start("workers", new KeyPoller(platform.store(), platform.workerPrefix(),
+                WORKER_POLL_MILLIS, workerSessions, events));
     }
 
-    private void planForever() throws InterruptedException
+    private void planPeriodically() throws InterruptedException
     {
         while (!lease.hasEnded())
         {
-            if (wakeUps.tryAcquire(LONGEST_WAIT_MILLIS, TimeUnit.MILLISECONDS))
+            if (wakeUps.tryAcquire(MAX_PLAN_WAIT_MILLIS, TimeUnit.MILLISECONDS))
             {
                 wakeUps.drainPermits();
             }
-            long begunNanos = SteadyClock.nanos();
-            if (jobs.isListingComplete() && lease.maySendCommands() && hasConfig())
+            long startNanos = SteadyClock.nanos();
+            if (jobReader.isListingComplete() && lease.maySendCommands() && hasConfig())
             {
                 planOnce();
             }
-            long tookMillis = (SteadyClock.nanos() - begunNanos) / NANOS_PER_MILLI;
-            Thread.sleep(Math.max(MILLIS_BETWEEN_PLANS, PAUSE_FOR_PLAN * tookMillis));
+            long elapsedMillis = (SteadyClock.nanos() - startNanos) / NANOS_PER_MILLI;
+            Thread.sleep(Math.max(MIN_PLAN_PAUSE_MILLIS, PLAN_PAUSE_FACTOR * elapsedMillis));
         }
     }
 
-    /** Without a configuration nobody would be held to a quota. */
+    /** Returns whether a configuration was read; quotas are unknown without one. */
     private boolean hasConfig()
     {
         return config.get().version() > 0;
@@ -152,93 +156,94 @@
     private void planOnce()
     {
         Planner.Plan plan;
-        Effects moves;
+        Effects evacuations;
         Effects stalls;
-        Effects slow;
-        Effects harmful;
-        List<Effects> lapsed;
-        List<UnresponsiveWorkerGuard.AbandonedRun> left;
-        synchronized (ledger)
+        Effects slowRuns;
+        Effects poisoned;
+        List<Effects> expired;
+        List<UnresponsiveWorkerGuard.AbandonedRun> abandonedRuns;
+        synchronized (cellState)
         {
-            moves = evacuation.evacuate(SteadyClock.nanos());
+            evacuations = evacuation.evacuate(SteadyClock.nanos());
             stalls = stallGuard.check(SteadyClock.nanos());
-            slow = slowWorkerGuard.check(SteadyClock.nanos());
+            slowRuns = slowWorkerGuard.check(SteadyClock.nanos());
             CellConfig newest = config.get();
-            if (newest.version() > ledger.config().version())
+            if (newest.version() > cellState.config().version())
             {
-                ledger.configure(newest);
+                cellState.configure(newest);
             }
-            lapsed = releaseLapsed();
-            harmful = ledger.failPoisonTasks();
-            left = silentWorkerGuard.check(SteadyClock.nanos());
+            expired = releaseExpiredWorkers();
+            poisoned = cellState.failPoisonTasks();
+            abandonedRuns = unresponsiveWorkerGuard.check(SteadyClock.nanos());
             plan = planner.plan(SteadyClock.nanos(), System.currentTimeMillis());
-            plan.needAdvice().forEach(desk::request);
+            plan.needAdvice().forEach(adviceCache::request);
         }
-        left.forEach(copy -> events.record(EventType.TASK_MOVED, copy.task(),
-                "run " + copy.run() + " on " + copy.worker() + ": left there, the worker is silent"));
-        logMoves(moves, "its worker leaves");
-        logMoves(stalls, "it stands still");
-        logMoves(slow, "its worker is slow");
-        apply(moves);
+        abandonedRuns.forEach(abandoned -> events.record(EventType.TASK_MOVED, abandoned.task(), "run "
+                + abandoned.run() + " on " + abandoned.worker() + ": abandoned, the worker is unresponsive"));
+        recordMovedTasks(evacuations, "its worker is leaving");
+        recordMovedTasks(stalls, "it is stalled");
+        recordMovedTasks(slowRuns, "its worker is slow");
+        apply(evacuations);
         apply(stalls);
-        apply(slow);
-        lapsed.forEach(this::applyLoss);
-        applyLoss(harmful);
+        apply(slowRuns);
+        expired.forEach(this::applyLoss);
+        applyLoss(poisoned);
         quotaWatch.planned(plan.atQuota(), SteadyClock.nanos());
-        plan.preemptions().forEach(this::makeRoom);
-        sendOnceWritten(plan.starts());
+        plan.preemptions().forEach(this::applyPreemption);
+        sendStartsOnceWritten(plan.starts());
     }
 
-    /** Each job's starts are sent as soon as its own record is written, not when all are. */
-    private void sendOnceWritten(List<Planner.Start> starts)
+    /** Sends the starts of each job as soon as the record of that job is written. */
+    private void sendStartsOnceWritten(List<Planner.Start> starts)
     {
         Map<Job, List<Planner.Start>> byJob = new LinkedHashMap<>();
         for (Planner.Start start : starts)
         {
             byJob.computeIfAbsent(start.task().step().job(), job -> new ArrayList<>()).add(start);
         }
-        byJob.forEach((job, its) -> journal.mark(List.of(job), () -> its.forEach(this::send)));
+        byJob.forEach(
+                (job, jobStarts) -> journal.enqueue(List.of(job), () -> jobStarts.forEach(this::sendStart)));
     }
 
-    private void makeRoom(Planner.PreemptionDecision room)
+    private void applyPreemption(Planner.PreemptionDecision preemption)
     {
-        logMoves(room.effects(), room.step().name() + " is more urgent and needs its room");
-        apply(room.effects());
+        recordMovedTasks(preemption.effects(), preemption.step().name() + " preempts it");
+        apply(preemption.effects());
     }
 
-    private void logMoves(Effects effects, String why)
+    private void recordMovedTasks(Effects effects, String reason)
     {
         for (Effects.Stop stop : effects.stops())
         {
             events.record(EventType.TASK_MOVED, stop.taskName(),
-                    "run " + stop.run() + " on " + stop.slot().id() + ": " + why);
+                    "run " + stop.run() + " on " + stop.slot().id() + ": " + reason);
         }
     }
 
-    private List<Effects> releaseLapsed()
+    private List<Effects> releaseExpiredWorkers()
     {
-        List<Effects> all = new ArrayList<>();
-        for (TrackedWorker slot : ledger.slots().withExpiredLease())
+        List<Effects> allEffects = new ArrayList<>();
+        for (TrackedWorker worker : cellState.slots().withExpiredLease())
         {
-            if (SteadyClock.nanos() - slot.leaseEndNanos() > END_MARGIN_NANOS)
+            if (SteadyClock.nanos() - worker.leaseEndNanos() > RUN_END_MARGIN_NANOS)
             {
-                events.record(EventType.WORKER_LOST, slot.id(),
-                        WorkerLossCause.LAPSED.description() + " with " + slot.tasks().size() + " runs");
-                all.add(ledger.onWorkerLost(slot, WorkerLossCause.LAPSED));
+                events.record(EventType.WORKER_LOST, worker.id(),
+                        WorkerLossCause.LAPSED.description() + " with " + worker.tasks().size() + " runs");
+                allEffects.add(cellState.onWorkerLost(worker, WorkerLossCause.LAPSED));
             }
         }
-        return all;
+        return allEffects;
     }
 
-    private void send(Planner.Start start)
+    private void sendStart(Planner.Start start)
     {
-        Optional<WorkerSession> session = roster.session(start.slot().id());
+        Optional<WorkerSession> session = workerSessions.session(start.slot().id());
         if (session.isPresent())
         {
             inBackground(start.task().name(), () -> session.get().orders().start(start));
             return;
         }
-        synchronized (ledger)
+        synchronized (cellState)
         {
             if (start.task().isAt(start.slot(), start.run()))
             {
@@ -247,12 +252,13 @@
         }
     }
 
-    /** A step of work that may be interrupted. */
+    /** A task that may be interrupted. */
     interface Interruptible
     {
         void run() throws InterruptedException;
     }
 
+    /** Runs work in a virtual thread; an interruption ends it silently. */
     static Thread inBackground(String name, Interruptible work)
     {
         return Thread.ofVirtual().name(name).start(() ->
@@ -268,7 +274,7 @@
         });
     }
 
-    /** Writes what changed and sends the stops. */
+    /** Writes the changed jobs and sends the stops. */
     void apply(Effects effects)
     {
         apply(effects, () ->
@@ -276,111 +282,116 @@
         });
     }
 
-    /** Writes what changed and sends the stops; what is to follow runs once all is written. */
+    /**
+     * Writes the changed jobs and sends the stops. Calls {@code onWritten} once all changes are stored.
+     */
     void apply(Effects effects, Runnable onWritten)
     {
         for (Effects.Stop stop : effects.stops())
         {
-            roster.session(stop.slot().id()).ifPresent(
+            workerSessions.session(stop.slot().id()).ifPresent(
                     session -> inBackground(stop.taskName(), () -> session.orders().stops().send(stop)));
         }
-        synchronized (ledger)
+        synchronized (cellState)
         {
-            effects.changed().stream().filter(job -> job.state().isFinal()).forEach(desk::forget);
+            effects.changed().stream().filter(job -> job.state().isFinal()).forEach(adviceCache::forget);
         }
         if (!effects.changed().isEmpty())
         {
             wake();
         }
-        journal.mark(effects.changed(), onWritten);
+        journal.enqueue(effects.changed(), onWritten);
     }
 
-    /** Another life answers in a worker's place; each order that was under way may find that. */
-    void onIncarnationChanged(TrackedWorker slot)
+    /**
+     * Handles a worker that was replaced by another incarnation. May be called more than once, since
+     * each pending command can detect it.
+     */
+    void onIncarnationChanged(TrackedWorker worker)
     {
-        boolean wasKnown;
-        WorkerLossCause end;
+        boolean wasHandledBefore;
+        WorkerLossCause cause;
         Effects effects;
-        synchronized (ledger)
+        synchronized (cellState)
         {
-            wasKnown = slot.entry() == null && slot.isIdle();
-            end = slot.isLeaving() ? WorkerLossCause.LEFT : WorkerLossCause.CRASHED;
-            slot.unlisted();
-            effects = ledger.onWorkerLost(slot, end);
+            wasHandledBefore = worker.entry() == null && worker.isIdle();
+            cause = worker.isLeaving() ? WorkerLossCause.LEFT : WorkerLossCause.CRASHED;
+            worker.unlisted();
+            effects = cellState.onWorkerLost(worker, cause);
         }
-        if (!wasKnown)
+        if (!wasHandledBefore)
         {
-            events.record(EventType.WORKER_LOST, slot.id(), end.description());
+            events.record(EventType.WORKER_LOST, worker.id(), cause.description());
         }
         applyLoss(effects);
-        roster.over(slot);
+        workerSessions.over(worker);
         wake();
     }
 
     /**
-     * A worker has answered a look in the life of a slot: its other lives are over, unless they became
-     * known only after the look was sent.
+     * Ends the other incarnations of a worker that answered a heartbeat, except those that became known
+     * after the heartbeat was sent.
      */
-    void endOtherIncarnations(TrackedWorker slot, long sentNanos)
+    void endOtherIncarnations(TrackedWorker worker, long sentNanos)
     {
-        List<TrackedWorker> over;
-        synchronized (ledger)
+        List<TrackedWorker> replaced;
+        synchronized (cellState)
         {
-            over = ledger.slots().otherIncarnations(slot).stream()
-                    .filter(life -> life.knownNanos() - sentNanos < 0).toList();
+            replaced = cellState.slots().otherIncarnations(worker).stream()
+                    .filter(incarnation -> incarnation.knownNanos() - sentNanos < 0).toList();
         }
-        over.forEach(this::onIncarnationChanged);
+        replaced.forEach(this::onIncarnationChanged);
     }
 
-    /** A worker refuses an order of this term, because it has had one of a newer one. */
-    void onFenced(TrackedWorker slot)
+    /** Ends the term, because a worker rejected a command after it received one of a newer term. */
+    void onFenced(TrackedWorker worker)
     {
-        lease.end("worker " + slot.id() + " has seen a newer owner");
+        lease.end("worker " + worker.id() + " received commands of a newer owner");
     }
 
-    /** Tells which runs are over with their worker and which tasks are given up, and applies it. */
+    /** Records and applies lost runs and poison tasks. */
     private void applyLoss(Effects effects)
     {
-        logLostRuns(effects);
+        recordLostRuns(effects);
         effects.givenUp().forEach(task -> events.record(EventType.TASK_GIVEN_UP, task.task(),
-                "crashed " + task.crashes().crashes()));
+                "crashed workers: " + task.crashes().crashes()));
         apply(effects);
     }
 
-    private void logLostRuns(Effects effects)
+    private void recordLostRuns(Effects effects)
     {
         for (Effects.LostRun run : effects.lostRuns())
         {
             events.record(EventType.RUN_LOST, run.task(), "run " + run.run() + " on " + run.worker() + ": "
-                    + run.end().description() + ", seen at work for " + run.seenMillis() + " ms");
+                    + run.end().description() + ", observed running for " + run.seenMillis() + " ms");
         }
     }
 
-    /** A worker that is no longer listed, holds nothing and does not answer is forgotten. */
-    void onSessionEnded(TrackedWorker slot)
+    /** Removes the session of a worker that is unlisted, idle and unresponsive. */
+    void onSessionEnded(TrackedWorker worker)
     {
-        roster.forget(slot);
+        workerSessions.forget(worker);
     }
 
-    void logEnds(TrackedWorker slot, HeartbeatReply answer, long lastSeen)
+    void logEnds(TrackedWorker worker, HeartbeatReply reply, long lastEndNumber)
     {
-        for (EndedRun end : answer.ended())
+        for (EndedRun end : reply.ended())
         {
-            if (end.number() > lastSeen)
+            if (end.number() > lastEndNumber)
             {
-                events.record(EventType.RUN_ENDED, end.task(),
-                        "run " + end.run() + " on " + slot.id() + ": " + end.how() + ", end " + end.number());
+                events.record(EventType.RUN_ENDED, end.task(), "run " + end.run() + " on " + worker.id()
+                        + ": " + end.how() + ", end " + end.number());
             }
         }
     }
 
-    /** A worker answers looks again; its lease is to be renewed soon. */
+    /** Handles a worker that answers heartbeats again: its lease is renewed soon. */
     void onWorkerRecovered()
     {
-        lapsing.wake();
+        expiringLeases.wake();
     }
 
-    /** Decides anew soon. */
+    /** Triggers the next planning run. */
     void wake()
     {
         wakeUps.release();
@@ -393,12 +404,12 @@
 
     CellState cellState()
     {
-        return ledger;
+        return cellState;
     }
 
     AdviceCache adviceCache()
     {
-        return desk;
+        return adviceCache;
     }
 
     EventLog events()
@@ -410,7 +421,7 @@
     public void close()
     {
         supervisor.close();
-        desk.close();
-        roster.close();
+        adviceCache.close();
+        workerSessions.close();
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerWarmup.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerWarmup.java
@@ -28,24 +28,21 @@
 import org.gaugehollow.worker.WorkerIncarnation;
 
 /**
- * Goes through an owner's decisions on made-up jobs, in memory only, while another box owns the
- * cell. The runtime has then compiled that code before this box takes over: a box that does it cold
- * sends its first start some 0.9 s after its term began, one whose code costs no time after 0.15 s.
+ * Runs the planner on synthetic jobs in memory while another box owns the cell, so that the JIT has
+ * compiled this code before this box takes over.
  */
 public final class OwnerWarmup implements SupervisedTask
 {
-    /**
-     * How many rounds until the runtime has compiled what is used in each; 40 cost 2 s of a processor.
-     */
+    /** Number of rounds after which the code is compiled. */
     private static final int ROUNDS = 10;
     private static final int JOBS = 6;
     private static final int TASKS = 8;
     private static final int WORKERS = 8;
-    private static final int MOST_PLANS = 50;
+    private static final int MAX_PLANS = 50;
     private static final int WORKER_CPU = 8_000;
     private static final int TASK_CPU = 2_000;
     private static final int MEMORY_MIB = 65_536;
-    private static final long RUN_MILLIS = 500;
+    private static final long TASK_MILLIS = 500;
     private static final long RETRY_MILLIS = 500;
     private static final String NO_BOX = "";
     private static final String SERVICE = "rehearsal";
@@ -57,9 +54,9 @@
     private final WorkerScore score;
 
     /**
-     * @param election tells whether another box owns the cell
-     * @param ranking tells whether other boxes would own it before this one
-     * @param score rates workers
+     * @param election the election, which knows whether another box owns the cell
+     * @param ranking ranks this box among the others
+     * @param score rates workers for placement
      */
     public OwnerWarmup(OwnerElection election, OwnerElection.Ranking ranking, WorkerScore score)
     {
@@ -69,66 +66,67 @@
     }
 
     /**
-     * Rehearses, with pauses so that callers are served meanwhile, unless this box owns the cell or
-     * stronger ones would own it first.
+     * Runs the warm-up rounds, unless this box owns the cell or is outranked. Pauses between rounds
+     * leave processor time for requests.
      */
     @Override
     public void run() throws InterruptedException
     {
-        int rounds = 0;
-        while (rounds < ROUNDS && !election.isOwner())
+        int completedRounds = 0;
+        while (completedRounds < ROUNDS && !election.isOwner())
         {
             if (election.owner().isEmpty() || ranking.isOutranked(NO_BOX))
             {
                 Thread.sleep(RETRY_MILLIS);
                 continue;
             }
-            long begunNanos = SteadyClock.nanos();
-            playRound();
-            rounds++;
-            Thread.sleep(1 + TimeUnit.NANOSECONDS.toMillis(SteadyClock.nanos() - begunNanos));
+            long startNanos = SteadyClock.nanos();
+            runRound();
+            completedRounds++;
+            Thread.sleep(1 + TimeUnit.NANOSECONDS.toMillis(SteadyClock.nanos() - startNanos));
         }
     }
 
-    /** Accepts, places and ends some jobs; returns how many were completed. */
-    int playRound()
+    /** Accepts, places and ends some jobs; returns the number of completed jobs. */
+    int runRound()
     {
-        return new Round(score).play();
+        return new Round(score).run();
     }
 
-    /** One round with a memory of its own. */
+    /** One round on a cell state of its own. */
     private static final class Round
     {
-        private final CellState ledger = new CellState(SteadyClock::nanos, 0);
+        private final CellState cellState = new CellState(SteadyClock::nanos, 0);
         private final Planner planner;
-        private final Evacuation evacuation = new Evacuation(ledger);
-        private final StallGuard stallGuard = new StallGuard(ledger);
-        private final SlowWorkerGuard slowWorkerGuard = new SlowWorkerGuard(ledger);
-        private final UnresponsiveWorkerGuard silentWorkerGuard = new UnresponsiveWorkerGuard(ledger);
+        private final Evacuation evacuation = new Evacuation(cellState);
+        private final StallGuard stallGuard = new StallGuard(cellState);
+        private final SlowWorkerGuard slowWorkerGuard = new SlowWorkerGuard(cellState);
+        private final UnresponsiveWorkerGuard unresponsiveWorkerGuard = new UnresponsiveWorkerGuard(
+                cellState);
         private final List<TrackedWorker> workers = new ArrayList<>();
-        private final long[] lastEnds = new long[WORKERS];
+        private final long[] lastEndNumbers = new long[WORKERS];
         private int completed;
 
         Round(WorkerScore score)
         {
-            this.planner = new Planner(ledger, new NoTickets(), score);
+            this.planner = new Planner(cellState, new NoTickets(), score);
         }
 
-        int play()
+        int run()
         {
             for (int i = 0; i < WORKERS; i++)
             {
-                TrackedWorker slot = ledger.list(worker(i));
-                slot.recordHeartbeat(SteadyClock.nanos());
-                workers.add(slot);
+                TrackedWorker worker = cellState.list(worker(i));
+                worker.recordHeartbeat(SteadyClock.nanos());
+                workers.add(worker);
             }
-            acceptAll(PATIENT, 0);
+            acceptJobs(PATIENT, 0);
             plan();
-            acceptAll(URGENT, JOBS);
-            for (int i = 0; i < MOST_PLANS && completed < 2 * JOBS; i++)
+            acceptJobs(URGENT, JOBS);
+            for (int i = 0; i < MAX_PLANS && completed < 2 * JOBS; i++)
             {
                 plan();
-                look();
+                heartbeat();
             }
             return completed;
         }
@@ -140,22 +138,22 @@
                     Set.of(), "");
         }
 
-        private void acceptAll(QueueSpec queue, int first)
+        private void acceptJobs(QueueSpec queue, int firstId)
         {
-            StepSpec one = step(List.of());
-            JobSpec spec = new JobSpec(SERVICE, List.of(one, step(List.of(0))), 0, 0, 0);
-            for (int i = first; i < first + JOBS; i++)
+            StepSpec rootStep = step(List.of());
+            JobSpec spec = new JobSpec(SERVICE, List.of(rootStep, step(List.of(0))), 0, 0, 0);
+            for (int i = firstId; i < firstId + JOBS; i++)
             {
                 JobRecord record = new JobRecord(String.format("%016x", i), queue, spec,
                         System.currentTimeMillis());
-                ledger.accept(JobCodec.readRecord(JobCodec.writeRecord(record)), i, null,
+                cellState.accept(JobCodec.readRecord(JobCodec.writeRecord(record)), i, null,
                         System.currentTimeMillis());
             }
         }
 
         private static StepSpec step(List<Integer> dependsOn)
         {
-            return new StepSpec(TASKS, TASK_CPU, 1, 0, RUN_MILLIS, dependsOn, true, false, false, null, null,
+            return new StepSpec(TASKS, TASK_CPU, 1, 0, TASK_MILLIS, dependsOn, true, false, false, null, null,
                     0, false, false, null, 0, false, 0);
         }
 
@@ -165,47 +163,50 @@
             evacuation.evacuate(now);
             stallGuard.check(now);
             slowWorkerGuard.check(now);
-            silentWorkerGuard.check(now);
+            unresponsiveWorkerGuard.check(now);
             for (Planner.Start start : planner.plan(now, System.currentTimeMillis()).starts())
             {
                 start.task().begun(now);
                 start.task().settle(now);
-                write(start.task().step().job());
+                encodeProgress(start.task().step().job());
             }
         }
 
-        private void look()
+        private void heartbeat()
         {
             for (int i = 0; i < WORKERS; i++)
             {
-                TrackedWorker slot = workers.get(i);
+                TrackedWorker worker = workers.get(i);
                 List<RunningRun> running = new ArrayList<>();
                 List<EndedRun> ended = new ArrayList<>();
-                long number = lastEnds[i];
-                for (Task task : slot.tasks())
+                long number = lastEndNumbers[i];
+                for (Task task : worker.tasks())
                 {
                     running.add(new RunningRun(task.name(), task.run(), "state", 1, 0));
                     number++;
-                    RunEnd how = task.phase() == Task.Phase.STOPPING ? RunEnd.STOPPED : RunEnd.DONE;
-                    ended.add(new EndedRun(number, task.name(), task.run(), how, "state"));
+                    RunEnd runEnd = task.phase() == Task.Phase.STOPPING ? RunEnd.STOPPED : RunEnd.DONE;
+                    ended.add(new EndedRun(number, task.name(), task.run(), runEnd, "state"));
                 }
-                look(slot, new HeartbeatReply(CommandResult.DONE, 1, running, List.of()), lastEnds[i]);
-                look(slot, new HeartbeatReply(CommandResult.DONE, 1, List.of(), ended), lastEnds[i]);
-                lastEnds[i] = number;
+                heartbeat(worker, new HeartbeatReply(CommandResult.DONE, 1, running, List.of()),
+                        lastEndNumbers[i]);
+                heartbeat(worker, new HeartbeatReply(CommandResult.DONE, 1, List.of(), ended),
+                        lastEndNumbers[i]);
+                lastEndNumbers[i] = number;
             }
         }
 
-        private void look(TrackedWorker slot, HeartbeatReply answer, long lastSeen)
+        private void heartbeat(TrackedWorker worker, HeartbeatReply reply, long lastEndNumber)
         {
-            for (Job job : ledger.applyHeartbeat(slot, answer, lastSeen, SteadyClock.nanos()).changed())
+            for (Job job : cellState.applyHeartbeat(worker, reply, lastEndNumber, SteadyClock.nanos())
+                    .changed())
             {
-                write(job);
+                encodeProgress(job);
                 completed += job.state() == JobState.COMPLETED ? 1 : 0;
-                ledger.dropIfFinished(job);
+                cellState.dropIfFinished(job);
             }
         }
 
-        private static void write(Job job)
+        private static void encodeProgress(Job job)
         {
             job.beginWrite();
             JobCodec.readProgress(JobCodec.writeProgress(job.progress()));
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/RetiredJobs.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/RetiredJobs.java
@@ -14,23 +14,23 @@
 import org.gaugehollow.job.Cancellation;
 
 /**
- * The jobs of which nothing is left to do: those that are over, and those that were cancelled
- * before their records came. Guarded by the ledger's lock.
+ * Jobs that need no further work: those that have finished, and those that were cancelled before
+ * their records were read. Guarded by the monitor of the cell state.
  */
 final class RetiredJobs
 {
     private final LongSupplier nanoTime;
-    /** Jobs that are over, and since when as far as this owner knows. */
-    private final Map<String, Long> over = new LinkedHashMap<>();
-    /** Cancellations of jobs whose records are not there, which may still come. */
+    /** Finished jobs by id, with the time at which this owner learned of their end. */
+    private final Map<String, Long> finishedNanos = new LinkedHashMap<>();
+    /** Cancellations of jobs whose records have not been read yet. */
     private final Map<String, EarlyCancellation> cancelledEarly = new LinkedHashMap<>();
 
-    /** A cancellation, and since when it is known. */
+    /** A cancellation and the time at which it was read. */
     private record EarlyCancellation(Cancellation cancellation, long sinceNanos)
     {
     }
 
-    /** @param nanoTime a monotonic clock */
+    /** @param nanoTime monotonic clock, in nanoseconds */
     RetiredJobs(LongSupplier nanoTime)
     {
         this.nanoTime = nanoTime;
@@ -38,15 +38,15 @@
 
     void add(String id)
     {
-        over.put(id, nanoTime.getAsLong());
+        finishedNanos.put(id, nanoTime.getAsLong());
     }
 
     boolean isFinished(String id)
     {
-        return over.containsKey(id);
+        return finishedNanos.containsKey(id);
     }
 
-    /** The cancellation of a job that is not known is kept for when the job comes. */
+    /** Keeps the cancellation of an unknown job until the job's record is read. */
     void cancelEarly(String id, Cancellation cancellation)
     {
         cancelledEarly.putIfAbsent(id, new EarlyCancellation(cancellation, nanoTime.getAsLong()));
@@ -57,30 +57,33 @@
         return cancelledEarly.containsKey(id);
     }
 
-    /** The cancellation that came before the job, which is known now. */
+    /** Removes and returns the cancellation that was read before the job's record. */
     Optional<Cancellation> takeCancellation(String id)
     {
         return Optional.ofNullable(cancelledEarly.remove(id)).map(EarlyCancellation::cancellation);
     }
 
-    /** A job's records are gone from the store. */
-    void forget(String id)
+    /** Removes a job whose records were deleted from the store. */
+    void remove(String id)
     {
-        over.remove(id);
+        finishedNanos.remove(id);
         cancelledEarly.remove(id);
     }
 
     /**
-     * Some jobs that have been over for that long, the oldest first, and cancellations of jobs that
-     * never came.
+     * Returns the jobs that finished longer ago than the given time, oldest first, followed by unknown
+     * jobs whose cancellation is that old.
+     *
+     * @param nanos minimum age, in nanoseconds
+     * @param limit maximum number of jobs
      */
-    List<String> retiredFor(long nanos, int most)
+    List<String> findRetiredFor(long nanos, int limit)
     {
         long now = nanoTime.getAsLong();
-        Stream<String> ended = over.entrySet().stream().filter(entry -> now - entry.getValue() > nanos)
-                .map(Map.Entry::getKey);
-        Stream<String> neverCame = cancelledEarly.entrySet().stream()
+        Stream<String> finished = finishedNanos.entrySet().stream()
+                .filter(entry -> now - entry.getValue() > nanos).map(Map.Entry::getKey);
+        Stream<String> neverAccepted = cancelledEarly.entrySet().stream()
                 .filter(entry -> now - entry.getValue().sinceNanos() > nanos).map(Map.Entry::getKey);
-        return Stream.concat(ended, neverCame).limit(most).toList();
+        return Stream.concat(finished, neverAccepted).limit(limit).toList();
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/SummaryWriter.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/SummaryWriter.java
@@ -15,21 +15,21 @@
 import org.gaugehollow.supervise.SupervisedTask;
 
 /**
- * Writes how many jobs of each queue have not begun, whenever that changes. The counts go with the
- * owner's lease, so that nobody is told of counts that no owner keeps any more.
+ * Writes the number of jobs per queue that have not started, whenever it changes. The value is tied
+ * to the owner's lease, so that it is removed when its owner is gone.
  */
 final class SummaryWriter implements SupervisedTask
 {
     private static final long PERIOD_MILLIS = 500;
 
     private final PlatformStore store;
-    private final CellState ledger;
+    private final CellState cellState;
     private final OwnerLease owner;
 
-    SummaryWriter(PlatformStore store, CellState ledger, OwnerLease owner)
+    SummaryWriter(PlatformStore store, CellState cellState, OwnerLease owner)
     {
         this.store = store;
-        this.ledger = ledger;
+        this.cellState = cellState;
         this.owner = owner;
     }
 
@@ -39,14 +39,14 @@
         Map<String, Integer> written = null;
         while (!owner.hasEnded())
         {
-            Map<String, Integer> now;
-            synchronized (ledger)
+            Map<String, Integer> counts;
+            synchronized (cellState)
             {
-                now = ledger.pending();
+                counts = cellState.countQueuedJobs();
             }
-            if (!now.equals(written) && write(now))
+            if (!counts.equals(written) && write(counts))
             {
-                written = now;
+                written = counts;
             }
             Thread.sleep(PERIOD_MILLIS);
         }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/CellStateTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/CellStateTest.java
@@ -20,22 +20,22 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What the owner's memory makes of accepted jobs, looks at workers and lost workers. */
+/** Tests how the cell state applies accepted jobs, heartbeat replies and lost workers. */
 class CellStateTest
 {
     private static final long UNKNOWN_LEASE = TimeUnit.SECONDS.toNanos(13);
 
     private final AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(1_000));
-    private final CellState ledger = new CellState(clock::get, UNKNOWN_LEASE);
-    private final Planner planner = new Planner(ledger, new NoTickets(), new WaitingFirstScore(0.5));
+    private final CellState cellState = new CellState(clock::get, UNKNOWN_LEASE);
+    private final Planner planner = new Planner(cellState, new NoTickets(), new WaitingFirstScore(0.5));
     private TrackedWorker first;
     private TrackedWorker second;
 
     @BeforeEach
     void listWorkers()
     {
-        first = ledger.list(TestJobs.worker("w1", 4_000));
-        second = ledger.list(TestJobs.worker("w2", 4_000));
+        first = cellState.list(TestJobs.worker("w1", 4_000));
+        second = cellState.list(TestJobs.worker("w2", 4_000));
         first.setLeaseHeld(true);
         second.setLeaseHeld(true);
     }
@@ -50,21 +50,21 @@
         return start.task();
     }
 
-    private void started(Planner.Start start)
+    private void markStarted(Planner.Start start)
     {
         start.task().begun(clock.get());
         start.task().settle(clock.get());
     }
 
-    private long later()
+    private long advanceClock()
     {
         return clock.addAndGet(1_000_000);
     }
 
     @Test
-    void noWorkerIsGivenMoreThanItHolds()
+    void tasksAreNotPlacedBeyondWorkerCapacity()
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.step(20, 1_500, List.of())), 1, null, 0);
+        cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(20, 1_500, List.of())), 1, null, 0);
         plan();
         assertThat(first.used().cpuMillis()).isAtMost(4_000);
         assertThat(second.used().cpuMillis()).isAtMost(4_000);
@@ -73,130 +73,133 @@
     }
 
     @Test
-    void aStepWaitsUntilAllTasksBeforeItAreDone()
+    void stepWaitsForAllTasksOfItsDependencies()
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.step(2, 500, List.of()),
+        cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(2, 500, List.of()),
                 TestJobs.step(1, 500, List.of(0))), 1, null, 0);
         List<Planner.Start> starts = plan();
         assertThat(starts).hasSize(2);
-        starts.forEach(this::started);
-        end(starts.get(0), 1, RunEnd.DONE);
+        starts.forEach(this::markStarted);
+        endRun(starts.get(0), 1, RunEnd.DONE);
         assertThat(plan()).isEmpty();
-        end(starts.get(1), 1, RunEnd.DONE);
+        endRun(starts.get(1), 1, RunEnd.DONE);
         assertThat(plan()).hasSize(1);
     }
 
-    private Effects end(Planner.Start start, long number, RunEnd how)
+    private Effects endRun(Planner.Start start, long number, RunEnd runEnd)
     {
         Task task = taskOf(start);
-        HeartbeatReply answer = TestJobs.answer(List.of(), List.of(TestJobs.ended(number, task, how)));
-        return ledger.applyHeartbeat(start.slot(), answer, number - 1, later());
+        HeartbeatReply reply = TestJobs.answer(List.of(), List.of(TestJobs.ended(number, task, runEnd)));
+        return cellState.applyHeartbeat(start.slot(), reply, number - 1, advanceClock());
     }
 
     @Test
-    void aJobIsCompletedOnceEveryTaskIsDone()
+    void jobCompletesOnceEveryTaskIsDone()
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
+        cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
         Planner.Start start = plan().getFirst();
-        started(start);
-        Effects effects = end(start, 1, RunEnd.DONE);
+        markStarted(start);
+        Effects effects = endRun(start, 1, RunEnd.DONE);
         Job job = effects.changed().iterator().next();
         assertThat(job.state()).isEqualTo(JobState.COMPLETED);
         assertThat(job.progress().rounds()).isNull();
     }
 
     @Test
-    void aTaskFailsItsJobOnlyAfterAllItsAttempts()
+    void taskFailsItsJobOnlyAfterAllAttempts()
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
-        Planner.Start one = plan().getFirst();
-        started(one);
-        Effects afterOne = end(one, 1, RunEnd.FAILED);
-        Job job = afterOne.changed().iterator().next();
+        cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
+        Planner.Start firstStart = plan().getFirst();
+        markStarted(firstStart);
+        Effects effects = endRun(firstStart, 1, RunEnd.FAILED);
+        Job job = effects.changed().iterator().next();
         assertThat(job.state()).isEqualTo(JobState.RUNNING);
-        Planner.Start two = plan().getFirst();
-        assertThat(two.run()).isEqualTo(2);
-        started(two);
-        end(two, two.slot() == one.slot() ? 2 : 1, RunEnd.FAILED);
+        Planner.Start secondStart = plan().getFirst();
+        assertThat(secondStart.run()).isEqualTo(2);
+        markStarted(secondStart);
+        endRun(secondStart, secondStart.slot() == firstStart.slot() ? 2 : 1, RunEnd.FAILED);
         assertThat(job.state()).isEqualTo(JobState.FAILED);
         assertThat(plan()).isEmpty();
     }
 
     @Test
-    void anEndListedAgainCountsOnce()
+    void repeatedRunEndCountsOnce()
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
+        cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
         Planner.Start start = plan().getFirst();
-        started(start);
+        markStarted(start);
         Task task = taskOf(start);
-        HeartbeatReply answer = TestJobs.answer(List.of(), List.of(TestJobs.ended(1, task, RunEnd.FAILED)));
-        ledger.applyHeartbeat(start.slot(), answer, 0, later());
-        ledger.applyHeartbeat(start.slot(), answer, 0, later());
+        HeartbeatReply reply = TestJobs.answer(List.of(), List.of(TestJobs.ended(1, task, RunEnd.FAILED)));
+        cellState.applyHeartbeat(start.slot(), reply, 0, advanceClock());
+        cellState.applyHeartbeat(start.slot(), reply, 0, advanceClock());
         assertThat(task.failures()).isEqualTo(1);
     }
 
     @Test
-    void anEndListedAgainIsToBeWrittenUntilItIs()
+    void repeatedRunEndStaysMarkedAsChangedUntilWritten()
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.step(2, 500, List.of())), 1, null, 0);
+        cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(2, 500, List.of())), 1, null, 0);
         Planner.Start start = plan().getFirst();
-        started(start);
+        markStarted(start);
         Job job = taskOf(start).step().job();
-        HeartbeatReply answer = TestJobs.answer(List.of(),
+        HeartbeatReply reply = TestJobs.answer(List.of(),
                 List.of(TestJobs.ended(1, taskOf(start), RunEnd.DONE)));
         job.beginWrite();
-        assertThat(ledger.applyHeartbeat(start.slot(), answer, 0, later()).changed()).containsExactly(job);
+        assertThat(cellState.applyHeartbeat(start.slot(), reply, 0, advanceClock()).changed())
+                .containsExactly(job);
         job.endWrite();
-        assertThat(ledger.applyHeartbeat(start.slot(), answer, 0, later()).changed()).containsExactly(job);
+        assertThat(cellState.applyHeartbeat(start.slot(), reply, 0, advanceClock()).changed())
+                .containsExactly(job);
         job.beginWrite();
-        assertThat(ledger.applyHeartbeat(start.slot(), answer, 0, later()).changed()).containsExactly(job);
+        assertThat(cellState.applyHeartbeat(start.slot(), reply, 0, advanceClock()).changed())
+                .containsExactly(job);
         job.endWrite();
-        assertThat(ledger.applyHeartbeat(start.slot(), answer, 0, later()).changed()).isEmpty();
+        assertThat(cellState.applyHeartbeat(start.slot(), reply, 0, advanceClock()).changed()).isEmpty();
     }
 
     @Test
-    void aStartWithoutAnAnswerCountsAsRunningUntilItIsSettled()
+    void unansweredStartCountsAsRunningUntilSettled()
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
+        cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
         Planner.Start start = plan().getFirst();
-        ledger.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, later());
+        cellState.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, advanceClock());
         assertThat(taskOf(start).occupies()).isTrue();
         assertThat(plan()).isEmpty();
     }
 
     @Test
-    void aStoppedRunThatALaterLookDoesNotShowIsOver()
+    void stoppedRunMissingFromLaterHeartbeatIsReleased()
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
+        cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
         Planner.Start start = plan().getFirst();
         taskOf(start).stopping();
         taskOf(start).settle(clock.get());
-        long sentBefore = clock.get() - 1;
-        ledger.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, sentBefore);
+        long sentNanos = clock.get() - 1;
+        cellState.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, sentNanos);
         assertThat(taskOf(start).occupies()).isTrue();
-        ledger.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, later());
+        cellState.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, advanceClock());
         assertThat(taskOf(start).occupies()).isFalse();
         assertThat(plan().getFirst().run()).isEqualTo(2);
     }
 
     @Test
-    void aStopThatIsAnsweredTwiceIsSettledByTheFirstAnswer()
+    void firstAnswerSettlesStop()
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
+        cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
         Planner.Start start = plan().getFirst();
         Task task = taskOf(start);
         task.stopping();
         task.settleStop(start.slot(), 1, clock.get());
-        long sent = later();
-        task.settleStop(start.slot(), 1, later());
-        ledger.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, sent);
+        long sent = advanceClock();
+        task.settleStop(start.slot(), 1, advanceClock());
+        cellState.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, sent);
         assertThat(task.occupies()).isFalse();
     }
 
     @Test
-    void anAnswerToTheStopOfAnEarlierRunDoesNotSettleTheNextOne()
+    void stopAnswerOfEarlierRunDoesNotSettleNextRun()
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
+        cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
         Planner.Start start = plan().getFirst();
         Task task = taskOf(start);
         task.stopping();
@@ -206,139 +209,141 @@
         task.order(start.slot(), 2, clock.get());
         task.settleStop(start.slot(), 1, clock.get());
         assertThat(task.settledNanos()).isEqualTo(Task.UNSETTLED);
-        ledger.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, later());
+        cellState.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, advanceClock());
         assertThat(task.occupies()).isTrue();
     }
 
     @Test
-    void runsThatTheLedgerDoesNotKnowAreStopped()
+    void orphanRunsAreStopped()
     {
-        HeartbeatReply answer = TestJobs.answer(
+        HeartbeatReply reply = TestJobs.answer(
                 List.of(new HeartbeatReply.RunningRun("00000000000000bb.0.0.0", 3, "", 5, 0)), List.of());
-        Effects effects = ledger.applyHeartbeat(first, answer, 0, later());
+        Effects effects = cellState.applyHeartbeat(first, reply, 0, advanceClock());
         assertThat(effects.stops()).hasSize(1);
         assertThat(first.acceptsStarts()).isFalse();
     }
 
     @Test
-    void aNewOwnerKnowsWhatAnEarlierOneStarted()
+    void newOwnerRestoresRunsOfEarlierOwner()
     {
         JobRecord record = TestJobs.job(TestJobs.ID, TestJobs.step(2, 500, List.of()));
-        ledger.accept(record, 1, null, 0);
+        cellState.accept(record, 1, null, 0);
         List<Planner.Start> starts = plan();
         JobProgress written = starts.getFirst().task().step().job().progress();
 
-        CellState next = new CellState(clock::get, UNKNOWN_LEASE);
-        TrackedWorker slot = next.list(TestJobs.worker("w1", 4_000));
-        next.accept(record, 1, written, 0);
-        Planner nextPlanner = new Planner(next, new NoTickets(), new WaitingFirstScore(0.5));
-        slot.setLeaseHeld(true);
+        CellState nextState = new CellState(clock::get, UNKNOWN_LEASE);
+        TrackedWorker worker = nextState.list(TestJobs.worker("w1", 4_000));
+        nextState.accept(record, 1, written, 0);
+        Planner nextPlanner = new Planner(nextState, new NoTickets(), new WaitingFirstScore(0.5));
+        worker.setLeaseHeld(true);
         assertThat(nextPlanner.plan(clock.get(), 0).starts()).isEmpty();
 
-        next.applyHeartbeat(slot, TestJobs.answer(List.of(), List.of()), 0, later());
-        List<Planner.Start> again = nextPlanner.plan(clock.get(), 0).starts();
-        assertThat(again).hasSize(1);
-        assertThat(again.getFirst().run()).isEqualTo(2);
+        nextState.applyHeartbeat(worker, TestJobs.answer(List.of(), List.of()), 0, advanceClock());
+        List<Planner.Start> nextStarts = nextPlanner.plan(clock.get(), 0).starts();
+        assertThat(nextStarts).hasSize(1);
+        assertThat(nextStarts.getFirst().run()).isEqualTo(2);
     }
 
     @Test
-    void runsOnAWorkerThatCannotBeReachedAreOverOnlyAfterTheLongestLease()
+    void runsOnUnreachableWorkerExpireOnlyAfterLongestLease()
     {
         JobRecord record = TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of()));
-        ledger.accept(record, 1, null, 0);
+        cellState.accept(record, 1, null, 0);
         JobProgress written = plan().getFirst().task().step().job().progress();
-        CellState next = new CellState(clock::get, UNKNOWN_LEASE);
-        next.accept(record, 1, written, 0);
+        CellState nextState = new CellState(clock::get, UNKNOWN_LEASE);
+        nextState.accept(record, 1, written, 0);
         clock.addAndGet(UNKNOWN_LEASE - 1);
-        assertThat(next.slots().withExpiredLease()).isEmpty();
+        assertThat(nextState.slots().withExpiredLease()).isEmpty();
         clock.addAndGet(2);
-        assertThat(next.slots().withExpiredLease()).hasSize(1);
+        assertThat(nextState.slots().withExpiredLease()).hasSize(1);
     }
 
     @Test
-    void aGangStartsWholeOrNotAtAll()
+    void gangStartsAsAWholeOrNotAtAll()
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.gang(9, 1_000)), 1, null, 0);
+        cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.gang(9, 1_000)), 1, null, 0);
         assertThat(plan()).isEmpty();
-        ledger.accept(TestJobs.job("00000000000000bb", TestJobs.gang(8, 1_000)), 2, null, 0);
+        cellState.accept(TestJobs.job("00000000000000bb", TestJobs.gang(8, 1_000)), 2, null, 0);
         List<Planner.Start> starts = plan();
         assertThat(starts).hasSize(8);
         starts.forEach(start -> assertThat(start.run()).isEqualTo(1));
     }
 
     @Test
-    void membersOfAGangShareTheNextRun()
+    void gangMembersShareNextRunNumber()
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.gang(2, 1_000)), 1, null, 0);
+        cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.gang(2, 1_000)), 1, null, 0);
         List<Planner.Start> starts = plan();
-        starts.forEach(this::started);
-        ledger.onWorkerLost(starts.get(0).slot(), WorkerLossCause.LAPSED);
+        starts.forEach(this::markStarted);
+        cellState.onWorkerLost(starts.get(0).slot(), WorkerLossCause.LAPSED);
         assertThat(plan()).isEmpty();
-        ledger.onWorkerLost(starts.get(1).slot(), WorkerLossCause.LAPSED);
+        cellState.onWorkerLost(starts.get(1).slot(), WorkerLossCause.LAPSED);
         first.setLeaseHeld(true);
         second.setLeaseHeld(true);
-        List<Planner.Start> again = plan();
-        assertThat(again).hasSize(2);
-        again.forEach(start -> assertThat(start.run()).isEqualTo(2));
+        List<Planner.Start> nextStarts = plan();
+        assertThat(nextStarts).hasSize(2);
+        nextStarts.forEach(start -> assertThat(start.run()).isEqualTo(2));
     }
 
     @Test
-    void aCancelledJobStopsWhatRunsAndStartsNothing()
+    void cancelledJobStopsItsRunsAndStartsNothing()
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.step(2, 500, List.of())), 1, null, 0);
-        plan().forEach(this::started);
-        Effects effects = ledger.cancel(TestJobs.ID, new Cancellation(TestJobs.QUEUE.name()));
+        cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(2, 500, List.of())), 1, null, 0);
+        plan().forEach(this::markStarted);
+        Effects effects = cellState.cancel(TestJobs.ID, new Cancellation(TestJobs.QUEUE.name()));
         assertThat(effects.stops()).hasSize(2);
         assertThat(plan()).isEmpty();
         assertThat(first.used().cpuMillis() + second.used().cpuMillis()).isEqualTo(1_000);
     }
 
     /**
-     * A job is dropped once a write shows it as over with nothing left to do. A start that its worker
-     * refuses after the cancellation leaves nothing to do, but no write followed, so the job and its
-     * record were kept for as long as the term went on.
+     * Guards against a cancelled job that is kept for the rest of the term because no write follows the
+     * refusal of its last start.
      */
     @Test
-    void aCancelledJobIsWrittenAgainOnceItsLastStartIsRefused()
+    void cancelledJobIsWrittenAgainOnceLastStartIsRefused()
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
+        cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
         Task task = taskOf(plan().getFirst());
-        ledger.cancel(TestJobs.ID, new Cancellation(TestJobs.QUEUE.name()));
+        cellState.cancel(TestJobs.ID, new Cancellation(TestJobs.QUEUE.name()));
         Effects effects = new Effects();
         CellState.release(task, effects);
         assertThat(effects.changed()).containsExactly(task.step().job());
     }
 
     @Test
-    void aCancellationThatComesBeforeItsJobHolds()
+    void cancellationBeforeJobRecordTakesEffect()
     {
-        ledger.cancel(TestJobs.ID, new Cancellation(TestJobs.QUEUE.name()));
-        ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
+        cellState.cancel(TestJobs.ID, new Cancellation(TestJobs.QUEUE.name()));
+        cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
         assertThat(plan()).isEmpty();
     }
 
     @Test
-    void aLongRunningTaskIsStartedAgainHoweverItEnds()
+    void longRunningTaskRestartsAfterAnyEnd()
     {
-        ledger.accept(TestJobs.job(TestJobs.ID, TestJobs.longRunning(1)), 1, null, 0);
+        cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.longRunning(1)), 1, null, 0);
         for (int run = 1; run <= 4; run++)
         {
             Planner.Start start = plan().getFirst();
             assertThat(start.run()).isEqualTo(run);
-            started(start);
-            end(start, run, run % 2 == 0 ? RunEnd.DONE : RunEnd.FAILED);
+            markStarted(start);
+            endRun(start, run, run % 2 == 0 ? RunEnd.DONE : RunEnd.FAILED);
         }
     }
 
-    /** Such cancellations have no record that would end them; kept for good, they would pile up. */
+    /**
+     * Guards against an unbounded number of cancellations of unknown jobs, which have no record that
+     * would remove them.
+     */
     @Test
-    void theCancellationOfAJobThatNeverCameIsRemovedAfterAWhile()
+    void cancellationOfUnknownJobIsRetiredAfterRetentionTime()
     {
-        ledger.cancel(TestJobs.ID, new Cancellation(TestJobs.QUEUE.name()));
-        assertThat(ledger.retired().retiredFor(1_000, 10)).isEmpty();
+        cellState.cancel(TestJobs.ID, new Cancellation(TestJobs.QUEUE.name()));
+        assertThat(cellState.retired().findRetiredFor(1_000, 10)).isEmpty();
         clock.addAndGet(1_001);
-        assertThat(ledger.retired().retiredFor(1_000, 10)).containsExactly(TestJobs.ID);
-        ledger.forget(TestJobs.ID);
-        assertThat(ledger.retired().retiredFor(1_000, 10)).isEmpty();
+        assertThat(cellState.retired().findRetiredFor(1_000, 10)).containsExactly(TestJobs.ID);
+        cellState.onRecordRemoved(TestJobs.ID);
+        assertThat(cellState.retired().findRetiredFor(1_000, 10)).isEmpty();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/ExpiringLeasesTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/ExpiringLeasesTest.java
@@ -18,32 +18,34 @@
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
-/** Workers that are lost before a change of owner, or answer again around one. */
+/** Tests the stored record of expiring leases around a change of owner. */
 @Execution(ExecutionMode.CONCURRENT)
 class ExpiringLeasesTest
 {
     private static final String TASK = TestJobs.ID + ".0.0.0";
-    private static final long SOON_MILLIS = 4_000;
-    /** So many looks without an answer take longer than it takes until a worker is recorded. */
-    private static final int LOOKS_WHILE_SILENT = 3;
-    /** Long enough for a job to be placed. */
-    private static final long PLANNED_MILLIS = 700;
-    /** A worker is recorded 1 s after the first look that got no answer, which takes up to 1.1 s. */
-    private static final long RECORDED_MILLIS = 10_000;
-    /** How long a worker is waited for of which nothing is recorded, and some seconds less. */
-    private static final long UNKNOWN_MILLIS = 11_000;
+    private static final long TIMEOUT_MILLIS = 4_000;
+    /** Number of unanswered heartbeats that takes longer than the time until a worker is recorded. */
+    private static final int HEARTBEATS_WHILE_UNRESPONSIVE = 3;
+    /** Time in which a job is placed. */
+    private static final long PLACEMENT_MILLIS = 700;
+    /** Upper limit of the time until an unresponsive worker is recorded. */
+    private static final long MAX_RECORD_MILLIS = 10_000;
+    /**
+     * Lower limit of the time that an owner waits for an unreachable worker without a recorded lease.
+     */
+    private static final long MIN_UNKNOWN_LEASE_MILLIS = 11_000;
 
     private final FakePlatform platform = new FakePlatform();
     private FakeWorker first;
     private TestTerm term;
 
     @BeforeEach
-    void begin() throws InterruptedException
+    void beginTerm() throws InterruptedException
     {
         first = platform.addWorker("w1");
         term = new TestTerm(platform, "box-1");
         platform.accept(TestJobs.job(TestJobs.ID, TestJobs.longRunning(1)));
-        assertThat(TestJobs.within(SOON_MILLIS, () -> first.isRunning(TASK))).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.isRunning(TASK))).isTrue();
     }
 
     @AfterEach
@@ -52,7 +54,7 @@
         term.close();
     }
 
-    private String recorded()
+    private String storedRecord()
     {
         return platform.fakeStore().get(JobKeys.EXPIRING_LEASES).map(StoredValue::value)
                 .map(value -> new String(value, StandardCharsets.UTF_8)).orElse("");
@@ -60,7 +62,7 @@
 
     private boolean isRecorded(String worker)
     {
-        return recorded().contains('"' + worker + '"');
+        return storedRecord().contains('"' + worker + '"');
     }
 
     private void changeOwner(String box) throws InterruptedException
@@ -70,122 +72,121 @@
     }
 
     /**
-     * A worker was lost, and its owner was replaced before it could write that the lease had lapsed, as
-     * in an outage of the store. The next owner waited 14.6 s for the runs of a worker that had been
-     * gone for 10 s, and the long-running task began again 26 s after its loss.
+     * Guards against waiting for the maximum lease time after a change of owner, although the lease of
+     * a lost worker expires earlier.
      */
     @Test
-    void aWorkerThatWasLostBeforeTheTermIsWaitedForUntilItsLeaseIsOver() throws InterruptedException
+    void runsOfWorkerLostBeforeTermRestartOnceRecordedLeaseExpires() throws InterruptedException
     {
         first.setSilent(true);
-        assertThat(TestJobs.within(RECORDED_MILLIS, () -> isRecorded("w1"))).isTrue();
+        assertThat(TestJobs.within(MAX_RECORD_MILLIS, () -> isRecorded("w1"))).isTrue();
         platform.unlist("w1");
         FakeWorker second = platform.addWorker("w2");
-        long leaseLeftMillis = first.newestDeadline() - first.clockMillis();
+        long remainingLeaseMillis = first.newestDeadline() - first.clockMillis();
         changeOwner("box-2");
-        assertThat(TestJobs.within(leaseLeftMillis - 100, () -> second.isRunning(TASK))).isFalse();
-        assertThat(TestJobs.within(SOON_MILLIS, () -> second.isRunning(TASK))).isTrue();
+        assertThat(TestJobs.within(remainingLeaseMillis - 100, () -> second.isRunning(TASK))).isFalse();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> second.isRunning(TASK))).isTrue();
         assertThat(second.begun()).isEqualTo(List.of(TASK + "/2"));
     }
 
-    /** The record of an owner two terms ago says nothing: the one between may have renewed leases. */
+    /** Guards against trusting a record although the term in between may have renewed the leases. */
     @Test
-    void theRecordOfAnOwnerTwoTermsAgoIsNotTakenOver() throws InterruptedException
+    void recordFromTwoTermsAgoIsIgnored() throws InterruptedException
     {
         first.setSilent(true);
-        assertThat(TestJobs.within(RECORDED_MILLIS, () -> isRecorded("w1"))).isTrue();
+        assertThat(TestJobs.within(MAX_RECORD_MILLIS, () -> isRecorded("w1"))).isTrue();
         term.close();
         byte[] other = "box-of-another-version".getBytes(StandardCharsets.UTF_8);
         platform.store().commit(new StoreTransaction().put(JobKeys.OWNER, other).put(JobKeys.JOURNAL, other));
         FakeWorker second = platform.addWorker("w2");
         term = new TestTerm(platform, "box-2");
-        assertThat(TestJobs.within(UNKNOWN_MILLIS, () -> second.isRunning(TASK))).isFalse();
+        assertThat(TestJobs.within(MIN_UNKNOWN_LEASE_MILLIS, () -> second.isRunning(TASK))).isFalse();
     }
 
-    /**
-     * As long as the store has a worker recorded, the next owner counts on its lease not being renewed.
-     */
+    /** Guards against renewing a lease that the next owner still takes to be expiring. */
     @Test
-    void theLeaseOfAWorkerThatIsBackIsRenewedOnlyOnceTheStoreHasItNoLongerRecorded()
-            throws InterruptedException
+    void leaseOfRecoveredWorkerIsRenewedOnlyAfterItsRecordIsRemoved() throws InterruptedException
     {
         first.setSilent(true);
-        assertThat(TestJobs.within(RECORDED_MILLIS, () -> isRecorded("w1"))).isTrue();
+        assertThat(TestJobs.within(MAX_RECORD_MILLIS, () -> isRecorded("w1"))).isTrue();
         platform.fakeStore().loseWritesOf(JobKeys.EXPIRING_LEASES);
         long deadline = first.newestDeadline();
         first.setSilent(false);
         assertThat(TestJobs.within(2_000, () -> first.newestDeadline() > deadline)).isFalse();
         assertThat(isRecorded("w1")).isTrue();
         platform.fakeStore().loseWritesOf(null);
-        assertThat(TestJobs.within(SOON_MILLIS, () -> first.newestDeadline() > deadline)).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.newestDeadline() > deadline)).isTrue();
         assertThat(isRecorded("w1")).isFalse();
         assertThat(first.isRunning(TASK)).isTrue();
         assertThat(first.begun()).isEqualTo(List.of(TASK + "/1"));
     }
 
-    /** A worker that answers the next owner keeps its runs, and is not recorded for a later one. */
+    /**
+     * Guards against ending the runs of a recorded worker that answers the next owner, and against
+     * leaving it in the record.
+     */
     @Test
-    void aRecordedWorkerThatAnswersTheNextOwnerKeepsItsRuns() throws InterruptedException
+    void recordedWorkerThatAnswersNextOwnerKeepsItsRuns() throws InterruptedException
     {
         first.setSilent(true);
-        assertThat(TestJobs.within(RECORDED_MILLIS, () -> isRecorded("w1"))).isTrue();
+        assertThat(TestJobs.within(MAX_RECORD_MILLIS, () -> isRecorded("w1"))).isTrue();
         long deadline = first.newestDeadline();
         term.close();
         first.setSilent(false);
         term = new TestTerm(platform, "box-2");
-        assertThat(TestJobs.within(SOON_MILLIS, () -> first.newestDeadline() > deadline)).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.newestDeadline() > deadline)).isTrue();
         assertThat(isRecorded("w1")).isFalse();
         assertThat(first.begun()).isEqualTo(List.of(TASK + "/1"));
     }
 
-    /** A single lost connection is no reason to leave a lease to lapse. */
+    /** Guards against letting a lease expire because of a single lost connection. */
     @Test
-    void aWorkerThatMissesOneLookIsNotRecorded() throws InterruptedException
+    void workerThatMissesOneHeartbeatIsNotRecorded() throws InterruptedException
     {
         first.setSilent(true);
-        int looks = first.looks();
-        assertThat(TestJobs.within(SOON_MILLIS, () -> first.looks() > looks)).isTrue();
+        int heartbeats = first.looks();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.looks() > heartbeats)).isTrue();
         first.setSilent(false);
-        assertThat(TestJobs.within(SOON_MILLIS, () -> isRecorded("w1"))).isFalse();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> isRecorded("w1"))).isFalse();
     }
 
     /**
-     * A start was decided before its worker fell silent, and its placement was written only after. It
-     * would come without a lease of its own, or end with the one that is left to lapse.
+     * Guards against a start on a worker whose lease is no longer renewed, if the worker was recorded
+     * after the decision and before the placement was written.
      */
     @Test
-    void nothingIsStartedOnAWorkerThatWasRecordedInTheMeantime() throws InterruptedException
+    void decidedStartIsDroppedIfWorkerIsRecordedMeanwhile() throws InterruptedException
     {
         platform.fakeStore().loseWritesOf(JobKeys.PROGRESS);
         String other = "00000000000000bb";
         platform.accept(TestJobs.job(other, TestJobs.step(1, 1_000, List.of())));
-        Thread.sleep(PLANNED_MILLIS);
+        Thread.sleep(PLACEMENT_MILLIS);
         first.setSilent(true);
-        assertThat(TestJobs.within(RECORDED_MILLIS, () -> isRecorded("w1"))).isTrue();
+        assertThat(TestJobs.within(MAX_RECORD_MILLIS, () -> isRecorded("w1"))).isTrue();
         int starts = first.startsAsked();
         platform.fakeStore().loseWritesOf(null);
-        assertThat(TestJobs.within(SOON_MILLIS, () -> first.startsAsked() > starts)).isFalse();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.startsAsked() > starts)).isFalse();
         FakeWorker second = platform.addWorker("w2");
-        assertThat(TestJobs.within(SOON_MILLIS, () -> second.isRunning(other + ".0.0.0"))).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> second.isRunning(other + ".0.0.0"))).isTrue();
     }
 
     /**
-     * The worker fell silent and answered again while the store took no record: the one that was meant
-     * to name it may still be carried out. Once the store takes writes again, the worker is used.
+     * Guards against ignoring a worker whose record has an unknown outcome because it recovered while
+     * the store accepted no writes.
      */
     @Test
-    void aWorkerThatIsBackBeforeItsRecordIsWrittenIsUsedAgain() throws InterruptedException
+    void workerThatRecoversBeforeItsRecordIsWrittenIsUsedAgain() throws InterruptedException
     {
         platform.fakeStore().loseWritesOf(JobKeys.EXPIRING_LEASES);
         first.setSilent(true);
-        int looks = first.looks();
-        assertThat(TestJobs.within(RECORDED_MILLIS, () -> first.looks() > looks + LOOKS_WHILE_SILENT))
-                .isTrue();
+        int heartbeats = first.looks();
+        assertThat(TestJobs.within(MAX_RECORD_MILLIS,
+                () -> first.looks() > heartbeats + HEARTBEATS_WHILE_UNRESPONSIVE)).isTrue();
         first.setSilent(false);
-        Thread.sleep(PLANNED_MILLIS);
+        Thread.sleep(PLACEMENT_MILLIS);
         long deadline = first.newestDeadline();
         platform.fakeStore().loseWritesOf(null);
-        assertThat(TestJobs.within(SOON_MILLIS, () -> first.newestDeadline() > deadline)).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.newestDeadline() > deadline)).isTrue();
         assertThat(isRecorded("w1")).isFalse();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/FakeOwnerProbe.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/FakeOwnerProbe.java
@@ -9,50 +9,50 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.atomic.AtomicInteger;
 
-/** Other boxes as a test wants them to answer; a box without a set answer does not answer. */
+/** Probe with results set by a test; a box without a result is unreachable. */
 final class FakeOwnerProbe implements OwnerProbe
 {
     private static final long CALL_MILLIS = 2;
-    /** How long a box that cannot be reached is waited for. */
-    private static final long UNREACHED_MILLIS = 450;
+    /** Duration of a call to an unreachable box. */
+    private static final long UNREACHABLE_CALL_MILLIS = 450;
 
-    private final Map<String, Result> standings = new ConcurrentHashMap<>();
+    private final Map<String, Result> results = new ConcurrentHashMap<>();
     private final Set<String> unreachable = ConcurrentHashMap.newKeySet();
-    private final Set<Integer> holds = ConcurrentHashMap.newKeySet();
+    private final Set<Integer> holdMillis = ConcurrentHashMap.newKeySet();
     private final Set<String> peers;
-    private final AtomicInteger asked = new AtomicInteger();
+    private final AtomicInteger calls = new AtomicInteger();
 
     FakeOwnerProbe(String... peers)
     {
         this.peers = Set.of(peers);
     }
 
-    /** How many calls were made. */
-    int asked()
+    /** Returns the number of probes. */
+    int callCount()
     {
-        return asked.get();
+        return calls.get();
     }
 
-    /** The longest time for which the owner was asked to hold a call. */
-    int longestHoldMillis()
+    /** Returns the longest hold time of a probe, in milliseconds. */
+    int maxHoldMillis()
     {
-        return holds.stream().mapToInt(Integer::intValue).max().orElse(0);
+        return holdMillis.stream().mapToInt(Integer::intValue).max().orElse(0);
     }
 
-    /** A box that is waited for in vain. */
-    void isCutOff(String box)
+    /** Makes probes of a box time out. */
+    void setUnreachable(String box)
     {
         unreachable.add(box);
     }
 
-    void owns(String box, long unconfirmedMillis)
+    void setOwner(String box, long unconfirmedMillis)
     {
-        standings.put(box, new Result(true, true, unconfirmedMillis, false));
+        results.put(box, new Result(true, true, unconfirmedMillis, false));
     }
 
-    void saysOfOwner(String box, boolean silent)
+    void setOwnerUnresponsive(String box, boolean unresponsive)
     {
-        standings.put(box, new Result(true, false, 0, silent));
+        results.put(box, new Result(true, false, 0, unresponsive));
     }
 
     @Override
@@ -64,9 +64,9 @@
     @Override
     public Result probe(String box, String owner, int waitMillis) throws InterruptedException
     {
-        holds.add(waitMillis);
-        Thread.sleep(unreachable.contains(box) ? UNREACHED_MILLIS : CALL_MILLIS);
-        asked.incrementAndGet();
-        return standings.getOrDefault(box, Result.UNREACHED);
+        holdMillis.add(waitMillis);
+        Thread.sleep(unreachable.contains(box) ? UNREACHABLE_CALL_MILLIS : CALL_MILLIS);
+        calls.incrementAndGet();
+        return results.getOrDefault(box, Result.UNREACHED);
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/FakePlatform.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/FakePlatform.java
@@ -24,17 +24,17 @@
 import org.gaugehollow.worker.WorkerIncarnation;
 import org.gaugehollow.worker.WorkerPort;
 
-/** A platform in memory. */
+/** In-memory platform. */
 final class FakePlatform implements CellPlatform
 {
     private static final String WORKERS = "workers/";
-    private static final byte USABLE = 1;
-    private static final byte UNUSABLE = 2;
-    private static final int WHOLE_CPU = 16_000;
-    private static final int CPU_PER_UNIT = 1_000;
-    private static final byte WHOLE_UNITS = WHOLE_CPU / CPU_PER_UNIT;
-    /** Where an entry tells when its life was born. */
-    private static final int BORN = 2;
+    private static final byte VALID = 1;
+    private static final byte INVALID = 2;
+    private static final int DEFAULT_CPU_MILLIS = 16_000;
+    private static final int CPU_MILLIS_PER_UNIT = 1_000;
+    private static final byte DEFAULT_UNITS = DEFAULT_CPU_MILLIS / CPU_MILLIS_PER_UNIT;
+    /** Index of the start time in a worker's entry. */
+    private static final int START_TIME_INDEX = 2;
 
     private final FakeStore store;
     private final Map<String, FakeWorker> workers = new ConcurrentHashMap<>();
@@ -50,7 +50,7 @@
         this.store = store;
     }
 
-    /** Lists a worker; its state must have been set before. */
+    /** Adds and lists a new worker. */
     FakeWorker addWorker(String id) throws InterruptedException
     {
         FakeWorker worker = new FakeWorker();
@@ -58,27 +58,27 @@
         return worker;
     }
 
-    /** Lists a worker that was made before. */
+    /** Adds and lists an existing worker. */
     void add(String id, FakeWorker worker) throws InterruptedException
     {
         workers.put(id, worker);
         list(id);
     }
 
-    /** Lists a life of a worker, which tells when it was born, in place of the one before. */
-    void addLife(String id, byte born, FakeWorker worker) throws InterruptedException
+    /** Lists an incarnation of a worker with its start time, which replaces the previous one. */
+    void addLife(String id, byte startTime, FakeWorker worker) throws InterruptedException
     {
-        addLife(id, born, worker, WHOLE_UNITS);
+        addLife(id, startTime, worker, DEFAULT_UNITS);
     }
 
-    /** The same, with a room of so many processors. */
-    void addLife(String id, byte born, FakeWorker worker, byte processors) throws InterruptedException
+    /** Lists an incarnation of a worker with the given number of processors. */
+    void addLife(String id, byte startTime, FakeWorker worker, byte processors) throws InterruptedException
     {
-        workers.put(new WorkerIncarnation(id, born).text(), worker);
-        store.commit(new StoreTransaction().put(WORKERS + id, new byte[]{USABLE, processors, born}));
+        workers.put(new WorkerIncarnation(id, startTime).text(), worker);
+        store.commit(new StoreTransaction().put(WORKERS + id, new byte[]{VALID, processors, startTime}));
     }
 
-    /** A box has accepted a job. */
+    /** Writes the record of an accepted job. */
     void accept(JobRecord job) throws InterruptedException
     {
         store.commit(new StoreTransaction().put(JobKeys.job(job.id()), JobCodec.writeRecord(job)));
@@ -87,31 +87,31 @@
     /** Lists a worker that was added before. */
     void list(String id) throws InterruptedException
     {
-        store.commit(new StoreTransaction().put(WORKERS + id, new byte[]{USABLE}));
+        store.commit(new StoreTransaction().put(WORKERS + id, new byte[]{VALID}));
     }
 
-    /** A worker tells of a room of so many processors. */
+    /** Changes the number of processors that a worker's entry reports. */
     void resize(String id, int processors) throws InterruptedException
     {
-        store.commit(new StoreTransaction().put(WORKERS + id, new byte[]{USABLE, (byte) processors}));
+        store.commit(new StoreTransaction().put(WORKERS + id, new byte[]{VALID, (byte) processors}));
     }
 
-    /** Another writer puts an entry in a worker's place that names no worker. */
+    /** Replaces a worker's entry by one that is invalid. */
     void spoil(String id) throws InterruptedException
     {
-        store.commit(new StoreTransaction().put(WORKERS + id, new byte[]{UNUSABLE}));
+        store.commit(new StoreTransaction().put(WORKERS + id, new byte[]{INVALID}));
     }
 
-    /** A worker's entry goes from the store; the worker lives on. */
+    /** Deletes a worker's entry; the worker keeps running. */
     void unlist(String id) throws InterruptedException
     {
         store.commit(new StoreTransaction().delete(WORKERS + id));
     }
 
-    /** What the advice service answers from now on. */
-    void answerAdvice(AdvicePort answers)
+    /** Sets the advice service that answers later calls. */
+    void setAdvice(AdvicePort newAdvice)
     {
-        advice = answers;
+        advice = newAdvice;
     }
 
     FakeStore fakeStore()
@@ -146,14 +146,16 @@
     @Override
     public WorkerEntry readWorker(String key, byte[] value)
     {
-        if (value[0] != USABLE)
+        if (value[0] != VALID)
         {
-            throw new GaugehollowException(ResultCode.STORE_BAD_ANSWER, "no worker");
+            throw new GaugehollowException(ResultCode.STORE_BAD_ANSWER, "not a worker");
         }
         String id = workerId(key);
-        long born = value.length > BORN ? value[BORN] : WorkerIncarnation.START_UNKNOWN;
-        return TestJobs.worker(new WorkerIncarnation(id, born),
-                value.length > 1 ? value[1] * CPU_PER_UNIT : WHOLE_CPU);
+        long startTime = value.length > START_TIME_INDEX
+                ? value[START_TIME_INDEX]
+                : WorkerIncarnation.START_UNKNOWN;
+        return TestJobs.worker(new WorkerIncarnation(id, startTime),
+                value.length > 1 ? value[1] * CPU_MILLIS_PER_UNIT : DEFAULT_CPU_MILLIS);
     }
 
     @Override
@@ -163,7 +165,7 @@
     }
 
     @Override
-    public WorkerPort openWorker(WorkerEntry worker, BooleanSupplier mayOrder)
+    public WorkerPort openWorker(WorkerEntry worker, BooleanSupplier maySendCommands)
     {
         return workers.get(worker.incarnation().text());
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/JournalTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/JournalTest.java
@@ -29,29 +29,29 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Writes of progress under lost answers, late writes and a newer owner. */
+/** Tests writes of progress with lost answers, late writes and a newer owner. */
 class JournalTest
 {
     private static final byte[] TERM = "term".getBytes(StandardCharsets.UTF_8);
-    /** What the platform's store takes at once. */
-    private static final int MOST_ENTRIES = 32;
+    /** Maximum number of writes in a transaction of the platform's store. */
+    private static final int MAX_TRANSACTION_WRITES = 32;
     private static final String TASK = TestJobs.ID + ".0.0.0";
     private static final byte[] OTHER = "other".getBytes(StandardCharsets.UTF_8);
 
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
     private final LateStore store = new LateStore();
-    private final CellState ledger = new CellState(SteadyClock::nanos, 0);
+    private final CellState cellState = new CellState(SteadyClock::nanos, 0);
     private final Supervisor supervisor = new Supervisor("test", events);
     private OwnerLease owner;
     private Journal journal;
 
     @BeforeEach
-    void own() throws InterruptedException
+    void beginTerm() throws InterruptedException
     {
         long revision = store.commit(new StoreTransaction().require(JobKeys.OWNER, 0).put(JobKeys.OWNER, TERM)
                 .put(JobKeys.JOURNAL, TERM)).orElseThrow();
         owner = new OwnerLease("box", revision, 1, OwnerLease.UNKNOWN_FENCE);
-        journal = new Journal(store, ledger, owner, events);
+        journal = new Journal(store, cellState, owner, events);
         supervisor.start("journal", journal);
     }
 
@@ -61,7 +61,7 @@
         supervisor.close();
     }
 
-    private static Job job()
+    private static Job newJob()
     {
         return new Job(TestJobs.job(TestJobs.ID, TestJobs.step(1, 1, List.of())), 1);
     }
@@ -69,36 +69,36 @@
     private boolean isWritten(Job job) throws InterruptedException
     {
         CountDownLatch written = new CountDownLatch(1);
-        journal.mark(List.of(job), written::countDown);
+        journal.enqueue(List.of(job), written::countDown);
         return written.await(2, TimeUnit.SECONDS);
     }
 
-    private JobState stored()
+    private JobState storedState()
     {
         return JobCodec.readProgress(store.get(JobKeys.progress(TestJobs.ID)).orElseThrow().value()).state();
     }
 
     @Test
-    void progressIsReportedAsWrittenOnceTheStoreHasIt() throws InterruptedException
+    void progressIsReportedAsWrittenOnceStored() throws InterruptedException
     {
-        Job job = job();
+        Job job = newJob();
         job.setState(JobState.COMPLETED);
         assertThat(isWritten(job)).isTrue();
-        assertThat(stored()).isEqualTo(JobState.COMPLETED);
+        assertThat(storedState()).isEqualTo(JobState.COMPLETED);
     }
 
     @Test
-    void aWriteWhoseAnswerWasLostIsWrittenAgain() throws InterruptedException
+    void writeWithLostAnswerIsRepeated() throws InterruptedException
     {
         store.loseAnswers(1);
-        assertThat(isWritten(job())).isTrue();
-        assertThat(isWritten(job())).isTrue();
+        assertThat(isWritten(newJob())).isTrue();
+        assertThat(isWritten(newJob())).isTrue();
     }
 
     @Test
-    void aWriteThatTakesEffectLateCannotUndoANewerOne() throws InterruptedException
+    void lateWriteCannotOverwriteNewerOne() throws InterruptedException
     {
-        Job job = job();
+        Job job = newJob();
         assertThat(isWritten(job)).isTrue();
         long before = store.get(JobKeys.JOURNAL).orElseThrow().modRevision();
         job.setState(JobState.COMPLETED);
@@ -108,89 +108,90 @@
     }
 
     /**
-     * One try is turned away while the one before it is open; the latter must not undo what follows.
+     * Guards against treating a write as failed because its retry was rejected, while the first attempt
+     * still takes effect later.
      */
     @Test
-    void aWriteThatWasTurnedAwayOnceIsNotTakenForNotDone() throws InterruptedException
+    void rejectedRetryDoesNotHideLateWrite() throws InterruptedException
     {
-        Job job = job();
-        store.holdNextWriteOf(JobKeys.JOURNAL);
+        Job job = newJob();
+        store.delayNextWriteOf(JobKeys.JOURNAL);
         assertThat(isWritten(job)).isTrue();
         job.setState(JobState.COMPLETED);
         assertThat(isWritten(job)).isTrue();
-        store.awaitCarriedOut();
-        assertThat(stored()).isEqualTo(JobState.COMPLETED);
+        store.awaitLateWrite();
+        assertThat(storedState()).isEqualTo(JobState.COMPLETED);
         assertThat(isWritten(job)).isTrue();
         assertThat(owner.hasEnded()).isFalse();
     }
 
     @Test
-    void anOwnerThatWasReplacedWritesNothingMore() throws InterruptedException
+    void replacedOwnerWritesNothing() throws InterruptedException
     {
-        assertThat(isWritten(job())).isTrue();
+        assertThat(isWritten(newJob())).isTrue();
         store.commit(new StoreTransaction().put(JobKeys.OWNER, OTHER).put(JobKeys.JOURNAL, OTHER));
-        Job late = job();
+        Job late = newJob();
         late.setState(JobState.FAILED);
         CountDownLatch written = new CountDownLatch(1);
-        journal.mark(List.of(late), written::countDown);
+        journal.enqueue(List.of(late), written::countDown);
         assertThat(owner.awaitEnd(2_000)).isTrue();
         assertThat(written.await(100, TimeUnit.MILLISECONDS)).isFalse();
-        assertThat(stored()).isEqualTo(JobState.QUEUED);
+        assertThat(storedState()).isEqualTo(JobState.QUEUED);
     }
 
     @Test
-    void whileTheStoreIsDownNothingCountsAsWritten() throws InterruptedException
+    void nothingIsReportedAsWrittenWhileStoreIsDown() throws InterruptedException
     {
         store.setDown(true);
         CountDownLatch written = new CountDownLatch(1);
-        journal.mark(List.of(job()), written::countDown);
+        journal.enqueue(List.of(newJob()), written::countDown);
         assertThat(written.await(200, TimeUnit.MILLISECONDS)).isFalse();
         store.setDown(false);
         assertThat(written.await(2, TimeUnit.SECONDS)).isTrue();
     }
 
     /**
-     * A job was cancelled while a write of its progress from before was under way. When that write was
-     * through the job was over, and it was dropped although the store did not know of its end yet. Ends
-     * of its runs that workers listed then were ends of an unknown job, and were taken note of at once.
+     * Guards against dropping a job whose end is not stored yet: its run ends would be acknowledged as
+     * those of an unknown job.
      */
     @Test
-    void aJobThatCameToItsEndDuringAWriteIsKeptUntilThatIsWrittenToo() throws InterruptedException
+    void jobThatEndsDuringWriteIsKeptUntilItsEndIsWritten() throws InterruptedException
     {
         JobRecord record = TestJobs.job(TestJobs.ID, TestJobs.step(1, 1, List.of()));
         Job job;
-        synchronized (ledger)
+        synchronized (cellState)
         {
-            ledger.accept(record, 1, null, 0);
-            job = ledger.find(TASK).step().job();
+            cellState.accept(record, 1, null, 0);
+            job = cellState.find(TASK).step().job();
         }
         List<Job> changed = new ArrayList<>();
         store.afterNextCommit(() ->
         {
-            synchronized (ledger)
+            synchronized (cellState)
             {
-                changed.addAll(ledger.cancel(TestJobs.ID, new Cancellation(TestJobs.QUEUE.name())).changed());
+                changed.addAll(
+                        cellState.cancel(TestJobs.ID, new Cancellation(TestJobs.QUEUE.name())).changed());
             }
         });
         assertThat(isWritten(job)).isTrue();
         assertThat(changed).containsExactly(job);
-        assertThat(stored()).isEqualTo(JobState.QUEUED);
+        assertThat(storedState()).isEqualTo(JobState.QUEUED);
         assertThat(isKnown()).isTrue();
         assertThat(isWritten(job)).isTrue();
-        assertThat(stored()).isEqualTo(JobState.CANCELLED);
+        assertThat(storedState()).isEqualTo(JobState.CANCELLED);
         assertThat(isKnown()).isFalse();
     }
 
     private boolean isKnown()
     {
-        synchronized (ledger)
+        synchronized (cellState)
         {
-            return ledger.find(TASK) != null;
+            return cellState.find(TASK) != null;
         }
     }
 
     @Test
-    void theStoreSaysWhyItDidNotWrite()
+    void storeThatIsDownReportsStoreUnavailable()
     {
         store.setDown(true);
         try
@@ -202,7 +203,7 @@
             assertThat(e.code()).isEqualTo(ResultCode.STORE_UNAVAILABLE);
             return;
         }
-        throw new AssertionError("a store that is down answered");
+        throw new AssertionError("a store that is down returned a value");
     }
 
     private JobRecord storedRecord()
@@ -211,9 +212,9 @@
     }
 
     @Test
-    void theRecordOfAJobThatIsOverMakesRoomForAShortOne() throws InterruptedException
+    void recordOfFinishedJobIsReplacedByTombstone() throws InterruptedException
     {
-        Job job = job();
+        Job job = newJob();
         byte[] whole = JobCodec.writeRecord(job.record());
         store.commit(new StoreTransaction().put(JobKeys.job(job.id()), whole));
         assertThat(isWritten(job)).isTrue();
@@ -227,19 +228,19 @@
     }
 
     @Test
-    void manyJobsThatEndTogetherAreWrittenInTransactionsThatTheStoreTakes() throws InterruptedException
+    void manyFinishedJobsAreWrittenWithinTransactionLimit() throws InterruptedException
     {
         List<Job> jobs = IntStream.range(0, 40)
                 .mapToObj(i -> new Job(TestJobs.job("job-" + i, TestJobs.step(1, 1, List.of())), 1)).toList();
         jobs.forEach(job -> job.setState(JobState.COMPLETED));
         CountDownLatch written = new CountDownLatch(1);
-        journal.mark(jobs, written::countDown);
+        journal.enqueue(jobs, written::countDown);
         assertThat(written.await(2, TimeUnit.SECONDS)).isTrue();
         for (Job job : jobs)
         {
             byte[] record = store.get(JobKeys.job(job.id())).orElseThrow().value();
             assertThat(JobCodec.readRecord(record).hasEnded()).isTrue();
         }
-        assertThat(store.largestTransaction()).isAtMost(MOST_ENTRIES);
+        assertThat(store.largestTransaction()).isAtMost(MAX_TRANSACTION_WRITES);
     }
 }
