--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/LateStore.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/LateStore.java
@@ -14,63 +14,64 @@
 import org.gaugehollow.platform.FakeStore;
 import org.gaugehollow.platform.StoreTransaction;
 
-/**
- * A store that carries one write out late and turns the next one away meanwhile, as it is sent
- * beside the first.
- */
+/** Store that executes one write late and rejects the hedged attempt that is sent meanwhile. */
 final class LateStore extends FakeStore
 {
-    /** Longer than a call waits until it is sent once more. */
-    private static final int LATE_MILLIS = 900;
-    /** How long a lease lasts that nobody renews. */
+    /** Longer than the delay of a hedged call. */
+    private static final int DELAY_MILLIS = 900;
+    /** Duration of a lease that is not renewed. */
     private static final int LEASE_MILLIS = 1_000;
 
-    private final CountDownLatch carriedOut = new CountDownLatch(1);
+    private final CountDownLatch lateWriteDone = new CountDownLatch(1);
     private final Set<Long> renewed = ConcurrentHashMap.newKeySet();
-    private String key;
-    private int tries;
+    private String delayedKey;
+    private int attempts;
 
-    /** @param value the next write of this key is carried out late */
-    synchronized void holdNextWriteOf(String value)
+    /**
+     * Delays the next write of a key.
+     *
+     * @param value the key
+     */
+    synchronized void delayNextWriteOf(String key)
     {
-        key = value;
+        delayedKey = key;
     }
 
-    /** Waits until the late write was carried out, be it in vain. */
-    void awaitCarriedOut() throws InterruptedException
+    /** Waits until the delayed write was executed, whether or not it took effect. */
+    void awaitLateWrite() throws InterruptedException
     {
-        carriedOut.await();
+        lateWriteDone.await();
     }
 
-    private synchronized int countTry(StoreTransaction transaction)
+    private synchronized int countAttempt(StoreTransaction transaction)
     {
-        boolean counts = key != null
-                && transaction.writes().stream().anyMatch(write -> write.key().equals(key));
-        tries += counts ? 1 : 0;
-        return counts ? tries : 0;
+        boolean isDelayedKey = delayedKey != null
+                && transaction.writes().stream().anyMatch(write -> write.key().equals(delayedKey));
+        attempts += isDelayedKey ? 1 : 0;
+        return isDelayedKey ? attempts : 0;
     }
 
     @Override
-    @SuppressWarnings("UnsynchronizedOverridesSynchronized") // others are served meanwhile
+    @SuppressWarnings("UnsynchronizedOverridesSynchronized") // other calls must not wait for a delayed write
     public Optional<Long> commit(StoreTransaction transaction) throws InterruptedException
     {
-        return switch (countTry(transaction))
+        return switch (countAttempt(transaction))
         {
             case 1 -> commitLate(transaction);
-            case 2 -> throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "turned away");
+            case 2 -> throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "rejected");
             default -> super.commit(transaction);
         };
     }
 
     private Optional<Long> commitLate(StoreTransaction transaction) throws InterruptedException
     {
-        Thread.sleep(LATE_MILLIS);
+        Thread.sleep(DELAY_MILLIS);
         Optional<Long> revision = super.commit(transaction);
-        carriedOut.countDown();
+        lateWriteDone.countDown();
         long lease = transaction.writes().getFirst().lease();
         if (lease != 0)
         {
-            OwnerTerm.inBackground("lapse", () -> lapse(lease));
+            OwnerTerm.inBackground("lapse", () -> expireUnlessRenewed(lease));
         }
         return revision;
     }
@@ -82,7 +83,7 @@
         return super.renewLease(lease);
     }
 
-    private void lapse(long lease) throws InterruptedException
+    private void expireUnlessRenewed(long lease) throws InterruptedException
     {
         Thread.sleep(LEASE_MILLIS);
         if (!renewed.contains(lease))
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerElectionTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerElectionTest.java
@@ -21,7 +21,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Which box becomes the owner, and when one that looks dead is replaced. */
+/** Tests which box becomes the owner and when a suspected owner is replaced. */
 class OwnerElectionTest
 {
     private static final String OTHER = "bole-1";
@@ -33,22 +33,22 @@
     private final FakeOwnerProbe probe = new FakeOwnerProbe(OTHER, "bole-3", "bole-4");
     private final Supervisor supervisor = new Supervisor("test", events);
     private volatile boolean outranked;
-    private volatile boolean elder;
+    private volatile boolean longerRunning;
     private OwnerElection election;
 
-    /** Says what the test wants. */
+    /** Ranking set by the test. */
     private final class TestRanking implements OwnerElection.Ranking
     {
         @Override
-        public boolean isOutranked(String except)
+        public boolean isOutranked(String excludedBox)
         {
             return outranked;
         }
 
         @Override
-        public boolean isLongerRunning(String except)
+        public boolean isLongerRunning(String excludedBox)
         {
-            return elder;
+            return longerRunning;
         }
     }
 
@@ -58,7 +58,7 @@
         supervisor.close();
     }
 
-    private long ownedByOther() throws InterruptedException
+    private long acquireForOther() throws InterruptedException
     {
         long lease = platform.fakeStore().grantLease(60_000);
         byte[] term = (OTHER + "/term").getBytes(StandardCharsets.UTF_8);
@@ -67,7 +67,7 @@
         return lease;
     }
 
-    private void stand()
+    private void startElection()
     {
         OwnerMonitor monitor = new OwnerMonitor(probe, () -> true, owner -> false,
                 () -> SteadyClock.nanos() * CLOCK_SPEED);
@@ -84,68 +84,67 @@
     }
 
     @Test
-    void anOwnerThatMostBoxesTakeForDeadIsReplacedBeforeItsLeaseEnds() throws InterruptedException
+    void ownerSuspectedByMajorityIsReplacedBeforeLeaseEnds() throws InterruptedException
     {
-        ownedByOther();
+        acquireForOther();
         long before = ownerKey().modRevision();
-        probe.saysOfOwner("bole-3", true);
-        probe.saysOfOwner("bole-4", true);
-        stand();
+        probe.setOwnerUnresponsive("bole-3", true);
+        probe.setOwnerUnresponsive("bole-4", true);
+        startElection();
         assertThat(TestJobs.within(3_000, () -> election.isOwner())).isTrue();
         assertThat(ownerKey().modRevision()).isGreaterThan(before);
         assertThat(new String(ownerKey().value(), StandardCharsets.UTF_8)).startsWith("bole-2/");
     }
 
     @Test
-    void anOwnerThatAnswersStaysUntilItsKeyIsGone() throws InterruptedException
+    void responsiveOwnerStaysUntilItsKeyIsRemoved() throws InterruptedException
     {
-        long lease = ownedByOther();
-        probe.owns(OTHER, 100);
-        stand();
+        long lease = acquireForOther();
+        probe.setOwner(OTHER, 100);
+        startElection();
         assertThat(TestJobs.within(800, () -> election.isOwner())).isFalse();
         platform.fakeStore().revokeLease(lease);
         assertThat(TestJobs.within(3_000, () -> election.isOwner())).isTrue();
     }
 
     @Test
-    void aBoxThatIsOutrankedLeavesAnotherTheTimeToOwnTheCell() throws InterruptedException
+    void outrankedBoxLetsAnotherBoxAcquireFirst() throws InterruptedException
     {
         outranked = true;
-        stand();
+        startElection();
         assertThat(TestJobs.within(200, () -> election.isOwner())).isFalse();
-        ownedByOther();
-        probe.owns(OTHER, 100);
+        acquireForOther();
+        probe.setOwner(OTHER, 100);
         assertThat(TestJobs.within(800, () -> election.isOwner())).isFalse();
     }
 
     @Test
-    void anElderBoxLeavesOthersAMoment() throws InterruptedException
+    void longerRunningBoxDelaysItsAttempt() throws InterruptedException
     {
-        elder = true;
-        stand();
+        longerRunning = true;
+        startElection();
         assertThat(TestJobs.within(40, () -> election.isOwner())).isFalse();
         assertThat(TestJobs.within(3_000, () -> election.isOwner())).isTrue();
     }
 
     @Test
-    void aBoxThatIsOutrankedOwnsTheCellIfNoOtherDoes() throws InterruptedException
+    void outrankedBoxAcquiresIfNoOtherBoxDoes() throws InterruptedException
     {
         outranked = true;
-        stand();
+        startElection();
         assertThat(TestJobs.within(3_000, () -> election.isOwner())).isTrue();
     }
 
     /**
-     * The write that would make this box the owner is open, and the same write sent beside it is turned
-     * away. Neither tells that the first one is carried out later: the key then names a term of which
-     * this box knows nothing, and the cell has an owner again once the lease of that term is over.
+     * Guards against serving a term whose write had an unknown outcome and takes effect late; the cell
+     * must get an owner once the lease of that term has expired.
      */
     @Test
-    void aTermThatTheStoreBeginsLateIsNeitherServedNorInTheWayForLong() throws InterruptedException
+    void lateTermIsNotServedAndExpiresWithItsLease() throws InterruptedException
     {
-        store.holdNextWriteOf(JobKeys.OWNER);
-        stand();
-        store.awaitCarriedOut();
+        store.delayNextWriteOf(JobKeys.OWNER);
+        startElection();
+        store.awaitLateWrite();
         assertThat(TestJobs.within(6_000, () -> election.isOwner())).isTrue();
         StoredValue key = ownerKey();
         assertThat(new String(key.value(), StandardCharsets.UTF_8)).startsWith("bole-2/");
@@ -154,9 +153,9 @@
     }
 
     @Test
-    void anOwnerHandsTheCellToABoxOfHigherRank() throws InterruptedException
+    void ownerReleasesOwnershipToHigherRankedBox() throws InterruptedException
     {
-        stand();
+        startElection();
         assertThat(TestJobs.within(3_000, () -> election.isOwner())).isTrue();
         outranked = true;
         assertThat(TestJobs.within(10_000, () -> !election.isOwner())).isTrue();
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerMonitorTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerMonitorTest.java
@@ -15,17 +15,17 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** When a box may take an owner for dead before the owner's lease ends. */
+/** Tests when an owner is suspected before its lease ends. */
 class OwnerMonitorTest
 {
     private static final String OWNER = "bole-1";
     private static final long TERM = 7;
-    private static final long PAST_GRACE = TimeUnit.SECONDS.toNanos(4);
+    private static final long AFTER_GRACE_PERIOD_NANOS = TimeUnit.SECONDS.toNanos(4);
 
     private final FakeOwnerProbe probe = new FakeOwnerProbe(OWNER, "bole-2", "bole-3", "bole-4");
     private final AtomicLong clock = new AtomicLong();
-    private volatile boolean steady = true;
-    private final OwnerMonitor monitor = new OwnerMonitor(probe, () -> steady, owner -> false, clock::get);
+    private volatile boolean stable = true;
+    private final OwnerMonitor monitor = new OwnerMonitor(probe, () -> stable, owner -> false, clock::get);
     private final CompletableFuture<String> suspicion = new CompletableFuture<>();
     private Thread watcher;
 
@@ -35,17 +35,20 @@
         watcher.interrupt();
     }
 
-    private void watch() throws InterruptedException
+    private void startWatching() throws InterruptedException
     {
-        watch(monitor, probe);
+        startWatching(monitor, probe);
     }
 
-    /** Returns once the watch has begun, so that time that passes afterwards counts. */
-    private void watch(OwnerMonitor watching, FakeOwnerProbe asked) throws InterruptedException
+    /**
+     * Starts watching and returns after the first probe, so that time that passes afterwards counts.
+     */
+    private void startWatching(OwnerMonitor watchedMonitor, FakeOwnerProbe watchedProbe)
+            throws InterruptedException
     {
         watcher = OwnerTerm.inBackground("test",
-                () -> suspicion.complete(watching.awaitSuspicion(OWNER, TERM)));
-        while (asked.asked() == 0)
+                () -> suspicion.complete(watchedMonitor.awaitSuspicion(OWNER, TERM)));
+        while (watchedProbe.callCount() == 0)
         {
             Thread.sleep(1);
         }
@@ -61,153 +64,152 @@
         return suspicion.isDone();
     }
 
-    private void watchForSomeTimeWhileItOwns() throws Exception
+    private void watchHealthyOwner() throws Exception
     {
-        probe.owns(OWNER, 100);
-        watch();
+        probe.setOwner(OWNER, 100);
+        startWatching();
         assertThat(isSuspectedWithin(100)).isFalse();
-        clock.addAndGet(PAST_GRACE);
+        clock.addAndGet(AFTER_GRACE_PERIOD_NANOS);
         assertThat(isSuspectedWithin(100)).isFalse();
     }
 
     @Test
-    void anOwnerThatMostBoxesDoNotHearIsSuspected() throws Exception
+    void ownerUnresponsiveToMajorityIsSuspected() throws Exception
     {
-        watchForSomeTimeWhileItOwns();
-        probe.saysOfOwner("bole-2", true);
-        probe.saysOfOwner("bole-3", true);
-        probe.saysOfOwner("bole-4", false);
-        probe.saysOfOwner(OWNER, false);
+        watchHealthyOwner();
+        probe.setOwnerUnresponsive("bole-2", true);
+        probe.setOwnerUnresponsive("bole-3", true);
+        probe.setOwnerUnresponsive("bole-4", false);
+        probe.setOwnerUnresponsive(OWNER, false);
         assertThat(isSuspectedWithin(2_000)).isTrue();
     }
 
     @Test
-    void aBoxThatIsCutOffFromAllOthersSuspectsNobody() throws Exception
+    void isolatedBoxDoesNotSuspectOwner() throws Exception
     {
-        watch();
-        clock.addAndGet(PAST_GRACE);
+        startWatching();
+        clock.addAndGet(AFTER_GRACE_PERIOD_NANOS);
         assertThat(isSuspectedWithin(500)).isFalse();
         assertThat(monitor.isOwnerUnresponsive(OWNER)).isTrue();
     }
 
     @Test
-    void anOwnerThatHalfOfTheBoxesHearIsNotSuspected() throws Exception
+    void ownerReachableByHalfOfBoxesIsNotSuspected() throws Exception
     {
-        watch();
-        probe.saysOfOwner("bole-2", true);
-        probe.saysOfOwner("bole-3", false);
-        probe.saysOfOwner("bole-4", false);
-        clock.addAndGet(PAST_GRACE);
+        startWatching();
+        probe.setOwnerUnresponsive("bole-2", true);
+        probe.setOwnerUnresponsive("bole-3", false);
+        probe.setOwnerUnresponsive("bole-4", false);
+        clock.addAndGet(AFTER_GRACE_PERIOD_NANOS);
         assertThat(isSuspectedWithin(500)).isFalse();
     }
 
     @Test
-    void anOwnerThatTheStoreDoesNotConfirmIsSuspected() throws Exception
+    void unconfirmedOwnerIsSuspected() throws Exception
     {
-        watchForSomeTimeWhileItOwns();
-        probe.owns(OWNER, 800);
+        watchHealthyOwner();
+        probe.setOwner(OWNER, 800);
         assertThat(isSuspectedWithin(1_000)).isTrue();
     }
 
     @Test
-    void anOwnerIsNotSuspectedForAStoreThatFailedThisBoxToo() throws Exception
+    void unconfirmedOwnerIsNotSuspectedWhileStoreIsUnstable() throws Exception
     {
-        watchForSomeTimeWhileItOwns();
-        steady = false;
-        probe.owns(OWNER, 4_000);
+        watchHealthyOwner();
+        stable = false;
+        probe.setOwner(OWNER, 4_000);
         assertThat(isSuspectedWithin(400)).isFalse();
     }
 
     @Test
-    void anOwnerThatIsNotRegisteredIsNotTakenForSilent() throws Exception
+    void unregisteredOwnerIsNotUnresponsive() throws Exception
     {
         FakeOwnerProbe others = new FakeOwnerProbe("bole-2", "bole-3");
-        others.saysOfOwner("bole-2", true);
-        others.saysOfOwner("bole-3", true);
-        OwnerMonitor unknowing = new OwnerMonitor(others, () -> true, owner -> false, clock::get);
-        watch(unknowing, others);
-        clock.addAndGet(PAST_GRACE);
+        others.setOwnerUnresponsive("bole-2", true);
+        others.setOwnerUnresponsive("bole-3", true);
+        OwnerMonitor otherMonitor = new OwnerMonitor(others, () -> true, owner -> false, clock::get);
+        startWatching(otherMonitor, others);
+        clock.addAndGet(AFTER_GRACE_PERIOD_NANOS);
         assertThat(isSuspectedWithin(400)).isFalse();
-        assertThat(unknowing.isOwnerUnresponsive(OWNER)).isFalse();
+        assertThat(otherMonitor.isOwnerUnresponsive(OWNER)).isFalse();
     }
 
     @Test
-    void aNewOwnerIsLeftAloneForAWhile() throws Exception
+    void newOwnerIsNotSuspectedDuringGracePeriod() throws Exception
     {
-        watch();
-        probe.saysOfOwner("bole-2", true);
-        probe.saysOfOwner("bole-3", true);
-        probe.saysOfOwner("bole-4", true);
+        startWatching();
+        probe.setOwnerUnresponsive("bole-2", true);
+        probe.setOwnerUnresponsive("bole-3", true);
+        probe.setOwnerUnresponsive("bole-4", true);
         assertThat(isSuspectedWithin(400)).isFalse();
-        clock.addAndGet(PAST_GRACE);
+        clock.addAndGet(AFTER_GRACE_PERIOD_NANOS);
         assertThat(isSuspectedWithin(1_000)).isTrue();
     }
 
     @Test
-    void aTermThatIsAwaitedAgainIsNotLeftAloneAgain() throws Exception
+    void gracePeriodIsNotRepeatedForSameTerm() throws Exception
     {
-        watch();
+        startWatching();
         watcher.interrupt();
         watcher.join();
-        clock.addAndGet(PAST_GRACE);
-        probe.saysOfOwner("bole-2", true);
-        probe.saysOfOwner("bole-3", true);
-        probe.saysOfOwner("bole-4", true);
-        watch();
+        clock.addAndGet(AFTER_GRACE_PERIOD_NANOS);
+        probe.setOwnerUnresponsive("bole-2", true);
+        probe.setOwnerUnresponsive("bole-3", true);
+        probe.setOwnerUnresponsive("bole-4", true);
+        startWatching();
         assertThat(isSuspectedWithin(1_000)).isTrue();
     }
 
     /**
-     * The owner's hall is cut off, and with it a fifth of the boxes. They were asked one after the
-     * other, and each that could not be reached held up the others for 0.45 s: 2.4 s in this cell.
+     * Guards against querying boxes one after the other, where each unreachable box delays the result.
      */
     @Test
-    void boxesThatCannotBeReachedDoNotHoldUpTheOthersWord() throws Exception
+    void unreachableBoxesDoNotDelaySuspicion() throws Exception
     {
         String[] peers = IntStream.range(0, 30).mapToObj(i -> "box-" + i).toArray(String[]::new);
         peers[0] = OWNER;
-        FakeOwnerProbe many = new FakeOwnerProbe(peers);
+        FakeOwnerProbe manyBoxes = new FakeOwnerProbe(peers);
         for (String peer : peers)
         {
-            many.saysOfOwner(peer, true);
+            manyBoxes.setOwnerUnresponsive(peer, true);
         }
-        many.owns(OWNER, 100);
-        watch(new OwnerMonitor(many, () -> true, owner -> false, clock::get), many);
-        clock.addAndGet(PAST_GRACE);
+        manyBoxes.setOwner(OWNER, 100);
+        startWatching(new OwnerMonitor(manyBoxes, () -> true, owner -> false, clock::get), manyBoxes);
+        clock.addAndGet(AFTER_GRACE_PERIOD_NANOS);
         assertThat(isSuspectedWithin(100)).isFalse();
         for (int i = 1; i < 7; i++)
         {
-            many.isCutOff(peers[i]);
+            manyBoxes.setUnreachable(peers[i]);
         }
-        many.saysOfOwner(OWNER, false);
+        manyBoxes.setOwnerUnresponsive(OWNER, false);
         assertThat(isSuspectedWithin(900)).isTrue();
     }
 
-    /** Others take over before such a box does, so it need not ask all boxes for their word. */
+    /** Guards against outranked boxes that query all others, although they would not take over. */
     @Test
-    void aBoxThatOthersOutrankDoesNotAskTheOthers() throws Exception
-    {
-        probe.owns(OWNER, 100);
-        watch(new OwnerMonitor(probe, () -> true, owner -> true, clock::get), probe);
-        clock.addAndGet(PAST_GRACE);
-        probe.saysOfOwner("bole-2", true);
-        probe.saysOfOwner("bole-3", true);
-        probe.saysOfOwner("bole-4", true);
-        probe.saysOfOwner(OWNER, false);
+    void outrankedBoxDoesNotSuspectOwner() throws Exception
+    {
+        probe.setOwner(OWNER, 100);
+        startWatching(new OwnerMonitor(probe, () -> true, owner -> true, clock::get), probe);
+        clock.addAndGet(AFTER_GRACE_PERIOD_NANOS);
+        probe.setOwnerUnresponsive("bole-2", true);
+        probe.setOwnerUnresponsive("bole-3", true);
+        probe.setOwnerUnresponsive("bole-4", true);
+        probe.setOwnerUnresponsive(OWNER, false);
         assertThat(isSuspectedWithin(1_000)).isFalse();
     }
 
     @Test
-    void theOwnerIsAskedLessOftenByEachOfManyBoxes() throws Exception
+    void holdTimeGrowsWithNumberOfBoxes() throws Exception
     {
         String[] peers = IntStream.range(0, 47).mapToObj(i -> "box-" + i).toArray(String[]::new);
-        FakeOwnerProbe many = new FakeOwnerProbe(peers);
-        many.owns(OWNER, 100);
-        watch(new OwnerMonitor(many, () -> true, owner -> false, clock::get), many);
-        assertThat(many.longestHoldMillis()).isEqualTo(470);
+        FakeOwnerProbe manyBoxes = new FakeOwnerProbe(peers);
+        manyBoxes.setOwner(OWNER, 100);
+        startWatching(new OwnerMonitor(manyBoxes, () -> true, owner -> false, clock::get), manyBoxes);
+        assertThat(manyBoxes.maxHoldMillis()).isEqualTo(470);
         watcher.interrupt();
-        probe.owns(OWNER, 100);
-        watch();
-        assertThat(probe.longestHoldMillis()).isEqualTo(250);
+        probe.setOwner(OWNER, 100);
+        startWatching();
+        assertThat(probe.maxHoldMillis()).isEqualTo(250);
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerTermTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerTermTest.java
@@ -38,16 +38,14 @@
 import org.junit.jupiter.api.parallel.Execution;
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
-/**
- * Terms of owners against a store and workers in memory: what is taken over, settled and written.
- */
+/** Tests terms of owners on an in-memory store and workers. */
 @Execution(ExecutionMode.CONCURRENT)
 class OwnerTermTest
 {
     private static final String OTHER_ID = "00000000000000bb";
     private static final String TASK = TestJobs.ID + ".0.0.0";
     private static final long RETENTION_NANOS = TimeUnit.SECONDS.toNanos(2);
-    private static final StepSpec ONE = TestJobs.step(1, 1_000, List.of());
+    private static final StepSpec ONE_TASK = TestJobs.step(1, 1_000, List.of());
 
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
     private final FakePlatform platform = new FakePlatform();
@@ -68,18 +66,18 @@
         return term.lease();
     }
 
-    private void accept(StepSpec... steps) throws InterruptedException
+    private void acceptJob(StepSpec... steps) throws InterruptedException
     {
         platform.accept(TestJobs.job(TestJobs.ID, steps));
     }
 
-    private void acceptAnother() throws InterruptedException
+    private void acceptOtherJob() throws InterruptedException
     {
-        platform.accept(TestJobs.job(OTHER_ID, ONE));
+        platform.accept(TestJobs.job(OTHER_ID, ONE_TASK));
     }
 
-    /** Accepts a job of a queue that needs tickets. */
-    private void acceptAdvised(StepSpec step) throws InterruptedException
+    /** Accepts a job of a queue that requires tickets. */
+    private void acceptAdvisedJob(StepSpec step) throws InterruptedException
     {
         JobRecord advised = new JobRecord(TestJobs.ID, TestJobs.ADVISED_QUEUE,
                 new JobSpec("text", List.of(step), 0, 0, 0), 0);
@@ -87,7 +85,7 @@
                 .commit(new StoreTransaction().put(JobKeys.job(TestJobs.ID), JobCodec.writeRecord(advised)));
     }
 
-    private void recordRunningOn(String worker, int run) throws InterruptedException
+    private void storeRunningTask(String worker, int run) throws InterruptedException
     {
         TaskProgress task = new TaskProgress(run, 0, false, worker, null);
         JobProgress progress = new JobProgress(TestJobs.QUEUE.name(), JobState.RUNNING,
@@ -96,46 +94,46 @@
                 new StoreTransaction().put(JobKeys.progress(TestJobs.ID), JobCodec.writeProgress(progress)));
     }
 
-    private void cancel() throws InterruptedException
+    private void cancelJob() throws InterruptedException
     {
         platform.store().commit(new StoreTransaction().put(JobKeys.cancel(TestJobs.ID), new byte[]{'1'}));
     }
 
-    private JobState state()
+    private JobState storedState()
     {
         return platform.fakeStore().get(JobKeys.progress(TestJobs.ID)).map(StoredValue::value)
                 .map(JobCodec::readProgress).map(JobProgress::state).orElse(JobState.QUEUED);
     }
 
     @Test
-    void anAcceptedJobRunsAndIsShownAsCompletedOnceItsEndIsWritten() throws InterruptedException
+    void acceptedJobRunsAndIsStoredAsCompleted() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
         beginTerm();
-        accept(ONE);
+        acceptJob(ONE_TASK);
         assertThat(TestJobs.within(3_000, () -> worker.begun().equals(List.of(TASK + "/1")))).isTrue();
         worker.end(TASK, RunEnd.DONE);
-        assertThat(TestJobs.within(3_000, () -> state() == JobState.COMPLETED)).isTrue();
+        assertThat(TestJobs.within(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
     }
 
     /**
-     * A box may own the cell before it has read a configuration. It would hold nobody to a quota then,
-     * and would not know which workers a queue may use.
+     * Guards against starts without known quotas and services, if a box becomes the owner before it has
+     * read a configuration.
      */
     @Test
-    void nothingIsStartedBeforeThereIsAConfiguration() throws InterruptedException
+    void nothingStartsWithoutConfiguration() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
         AtomicReference<CellConfig> config = new AtomicReference<>(CellConfig.NONE);
         term = new TestTerm(platform, "box", events, RETENTION_NANOS, config::get);
-        accept(ONE);
+        acceptJob(ONE_TASK);
         assertThat(TestJobs.within(1_000, () -> !worker.begun().isEmpty())).isFalse();
         config.set(new CellConfig(1, List.of(), List.of("service"), Customers.NONE));
         assertThat(TestJobs.within(3_000, () -> worker.begun().equals(List.of(TASK + "/1")))).isTrue();
     }
 
     @Test
-    void aStartWaitsForItsOwnRecordOnly() throws InterruptedException
+    void startWaitsOnlyForItsOwnRecord() throws InterruptedException
     {
         int jobs = 40;
         for (int i = 0; i < jobs; i++)
@@ -151,14 +149,14 @@
     }
 
     @Test
-    void aJobOfWhichTheWatchDoesNotTellIsReadOnceAPeerTellsOfIt() throws InterruptedException
+    void jobMissedByWatchIsReadOnceAPeerReportsIt() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
         beginTerm();
-        accept(ONE);
+        acceptJob(ONE_TASK);
         assertThat(TestJobs.within(3_000, () -> worker.begun().equals(List.of(TASK + "/1")))).isTrue();
         platform.fakeStore().silenceWatches(true);
-        acceptAnother();
+        acceptOtherJob();
         assertThat(TestJobs.within(500, () -> worker.begun().size() > 1)).isFalse();
         term.term().onJobWritten(OTHER_ID);
         List<String> both = List.of(TASK + "/1", OTHER_ID + ".0.0.0/1");
@@ -168,19 +166,18 @@
     }
 
     /**
-     * A peer tells the owner of a job that was cancelled in the meantime, while the owner's watch hears
-     * nothing. The owner read the job's record alone, not its cancellation, and started its task long
-     * after the cancellation had been acknowledged.
+     * Guards against reading the record of a reported job without its cancellation, which starts a
+     * cancelled task.
      */
     @Test
-    void aCancelledJobThatAPeerTellsOfIsNotStarted() throws InterruptedException
+    void cancelledJobReportedByPeerIsNotStarted() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
         beginTerm();
-        accept(ONE);
+        acceptJob(ONE_TASK);
         assertThat(TestJobs.within(3_000, () -> worker.begun().equals(List.of(TASK + "/1")))).isTrue();
         platform.fakeStore().silenceWatches(true);
-        acceptAnother();
+        acceptOtherJob();
         platform.store().commit(new StoreTransaction().put(JobKeys.cancel(OTHER_ID), new byte[]{'1'}));
         term.term().onJobWritten(OTHER_ID);
         assertThat(TestJobs.within(1_500, () -> worker.begun().size() > 1)).isFalse();
@@ -189,12 +186,12 @@
     }
 
     @Test
-    void aJobThatIsOverIsNotStartedByTheNextOwner() throws InterruptedException
+    void finishedJobIsNotStartedByNextOwner() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        JobRecord over = TestJobs.job(TestJobs.ID, ONE).toTombstone();
-        platform.store()
-                .commit(new StoreTransaction().put(JobKeys.job(TestJobs.ID), JobCodec.writeRecord(over)));
+        JobRecord tombstone = TestJobs.job(TestJobs.ID, ONE_TASK).toTombstone();
+        platform.store().commit(
+                new StoreTransaction().put(JobKeys.job(TestJobs.ID), JobCodec.writeRecord(tombstone)));
         beginTerm();
         assertThat(TestJobs.within(1_000, () -> !worker.begun().isEmpty())).isFalse();
         assertThat(TestJobs.within(9_000, () -> platform.fakeStore().get(JobKeys.job(TestJobs.ID)).isEmpty()))
@@ -202,14 +199,14 @@
     }
 
     @Test
-    void theRecordsOfAJobAreRemovedSomeTimeAfterItIsOver() throws InterruptedException
+    void recordsOfFinishedJobAreRemovedAfterRetentionTime() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
         beginTerm();
-        accept(ONE);
+        acceptJob(ONE_TASK);
         assertThat(TestJobs.within(3_000, () -> !worker.begun().isEmpty())).isTrue();
         worker.end(TASK, RunEnd.DONE);
-        assertThat(TestJobs.within(3_000, () -> state() == JobState.COMPLETED)).isTrue();
+        assertThat(TestJobs.within(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
         assertThat(TestJobs.within(1_000, () -> platform.fakeStore().get(JobKeys.job(TestJobs.ID)).isEmpty()))
                 .isFalse();
         assertThat(TestJobs.within(9_000, () -> platform.fakeStore().get(JobKeys.job(TestJobs.ID)).isEmpty()))
@@ -218,84 +215,84 @@
     }
 
     @Test
-    void theRecordsOfAJobThatWasCancelledDuringAStartThatIsTurnedAwayAreRemoved() throws InterruptedException
+    void recordsOfJobCancelledDuringRefusedStartAreRemoved() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
         worker.turnAwayAndHoldStarts();
         beginTerm();
-        accept(ONE);
+        acceptJob(ONE_TASK);
         assertThat(TestJobs.within(3_000, () -> worker.startsAsked() == 1)).isTrue();
-        cancel();
-        assertThat(TestJobs.within(3_000, () -> state() == JobState.CANCELLED)).isTrue();
+        cancelJob();
+        assertThat(TestJobs.within(3_000, () -> storedState() == JobState.CANCELLED)).isTrue();
         worker.letStartsGo();
         assertThat(TestJobs.within(9_000, () -> platform.fakeStore().get(JobKeys.job(TestJobs.ID)).isEmpty()))
                 .isTrue();
     }
 
     @Test
-    void anEndThatNoEarlierOwnerWroteIsKnownToTheNextOne() throws InterruptedException
+    void nextOwnerReadsUnwrittenRunEnd() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        accept(ONE);
-        recordRunningOn("w1", 1);
+        acceptJob(ONE_TASK);
+        storeRunningTask("w1", 1);
         worker.runs(TASK, 1);
         worker.end(TASK, RunEnd.DONE);
         beginTerm();
-        assertThat(TestJobs.within(3_000, () -> state() == JobState.COMPLETED)).isTrue();
+        assertThat(TestJobs.within(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
         assertThat(worker.begun()).isEmpty();
     }
 
     @Test
-    void aCancellationReadBeforeTheWorkersAreKnownStopsWhatRuns() throws InterruptedException
+    void cancellationReadBeforeWorkersStopsRuns() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        accept(ONE);
-        recordRunningOn("w1", 1);
+        acceptJob(ONE_TASK);
+        storeRunningTask("w1", 1);
         worker.runs(TASK, 1);
-        cancel();
+        cancelJob();
         beginTerm();
         assertThat(TestJobs.within(4_000, () -> worker.stopped().contains(TASK))).isTrue();
-        assertThat(TestJobs.within(3_000, () -> state() == JobState.CANCELLED)).isTrue();
+        assertThat(TestJobs.within(3_000, () -> storedState() == JobState.CANCELLED)).isTrue();
     }
 
     @Test
-    void whatAnEarlierOwnerRecordedAndNeverSentIsStartedAsTheNextRun() throws InterruptedException
+    void recordedButUnsentStartIsSentAsNextRun() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        accept(ONE);
-        recordRunningOn("w1", 1);
+        acceptJob(ONE_TASK);
+        storeRunningTask("w1", 1);
         beginTerm();
         assertThat(TestJobs.within(3_000, () -> worker.begun().equals(List.of(TASK + "/2")))).isTrue();
     }
 
     @Test
-    void whatMayRunOnAWorkerThatIsNotListedIsNotStartedElsewhere() throws InterruptedException
+    void taskThatMayRunOnUnlistedWorkerIsNotStartedElsewhere() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w2");
-        accept(ONE);
-        recordRunningOn("w1", 1);
+        acceptJob(ONE_TASK);
+        storeRunningTask("w1", 1);
         beginTerm();
         assertThat(TestJobs.within(1_500, () -> !worker.begun().isEmpty())).isFalse();
     }
 
     @Test
-    void aStartThatArrivesAfterItsStopDoesNothing() throws InterruptedException
+    void startThatArrivesAfterItsStopIsRefused() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
         worker.loseStarts(3);
         beginTerm();
-        accept(ONE);
+        acceptJob(ONE_TASK);
         assertThat(TestJobs.within(6_000, () -> worker.begun().equals(List.of(TASK + "/2")))).isTrue();
         assertThat(worker.arriveLate()).isEqualTo(CommandResult.OLD_RUN);
         assertThat(worker.begun()).containsExactly(TASK + "/2");
     }
 
     @Test
-    void runsOfALifeThatIsOverStartAgainElsewhere() throws InterruptedException
+    void runsOfEndedIncarnationRestartElsewhere() throws InterruptedException
     {
         FakeWorker first = platform.addWorker("w1");
         beginTerm();
-        accept(ONE);
+        acceptJob(ONE_TASK);
         assertThat(TestJobs.within(3_000, () -> !first.begun().isEmpty())).isTrue();
         FakeWorker second = platform.addWorker("w2");
         first.endLife();
@@ -303,17 +300,17 @@
     }
 
     @Test
-    void whileTheStoreIsDownEndsStayOpenAndAreWrittenAfterwards() throws InterruptedException
+    void runEndsAreAcknowledgedOnlyAfterStoreRecovers() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
         beginTerm();
-        accept(ONE);
+        acceptJob(ONE_TASK);
         assertThat(TestJobs.within(3_000, () -> !worker.begun().isEmpty())).isTrue();
         platform.fakeStore().setDown(true);
         worker.end(TASK, RunEnd.DONE);
         assertThat(TestJobs.within(1_500, () -> worker.unnoted() == 0)).isFalse();
         platform.fakeStore().setDown(false);
-        assertThat(TestJobs.within(3_000, () -> state() == JobState.COMPLETED)).isTrue();
+        assertThat(TestJobs.within(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
         assertThat(TestJobs.within(3_000, () -> worker.unnoted() == 0)).isTrue();
     }
 
@@ -323,18 +320,15 @@
     }
 
     /**
-     * A run ended well while the store took no progress, so its end stayed open. The worker's entry
-     * went from the store and came back, and a new session took the place of the one that waited for
-     * the write. The worker listed the end once more, to an owner that held the task for done: nothing
-     * changed, nothing was to be written, and the end was taken note of. Then the owner was replaced;
-     * its successor found the end neither in the store nor at the worker and started the task again.
+     * Guards against acknowledging a run end before it is written: a new session reports the end again
+     * to an owner that already considers the task done, and the next owner would start the task again.
      */
     @Test
-    void anEndStaysOpenUntilItIsWrittenAlsoWhereANewSessionListsIt() throws InterruptedException
+    void runEndReportedToNewSessionIsAcknowledgedOnlyOnceWritten() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
         beginTerm();
-        accept(ONE);
+        acceptJob(ONE_TASK);
         assertThat(TestJobs.within(3_000, () -> !worker.begun().isEmpty())).isTrue();
         platform.fakeStore().loseWritesOf(JobKeys.PROGRESS);
         worker.end(TASK, RunEnd.DONE);
@@ -344,22 +338,21 @@
         platform.list("w1");
         assertThat(TestJobs.within(2_500, () -> worker.unnoted() == 0)).isFalse();
         platform.fakeStore().loseWritesOf(null);
-        assertThat(TestJobs.within(3_000, () -> state() == JobState.COMPLETED)).isTrue();
+        assertThat(TestJobs.within(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
         assertThat(TestJobs.within(3_000, () -> worker.unnoted() == 0)).isTrue();
     }
 
     /**
-     * The end of one member stands for its gang. Another member's end changed nothing any more and was
-     * taken note of at once, although the store had the progress of neither. Had the first member's
-     * worker died then, no later owner could have known that the gang was done.
+     * Guards against acknowledging the end of a gang member at once because another member's unwritten
+     * end has already completed the gang.
      */
     @Test
-    void theEndsOfAllMembersOfAGangStayOpenUntilItIsWritten() throws InterruptedException
+    void runEndsOfAllGangMembersAreAcknowledgedOnlyOnceWritten() throws InterruptedException
     {
         FakeWorker first = platform.addWorker("w1");
         FakeWorker second = platform.addWorker("w2");
         beginTerm();
-        accept(TestJobs.gang(2, 10_000));
+        acceptJob(TestJobs.gang(2, 10_000));
         assertThat(TestJobs.within(3_000, () -> !first.begun().isEmpty() && !second.begun().isEmpty()))
                 .isTrue();
         platform.fakeStore().loseWritesOf(JobKeys.PROGRESS);
@@ -370,83 +363,79 @@
         second.setSilent(false);
         assertThat(TestJobs.within(2_500, () -> second.unnoted() == 0)).isFalse();
         platform.fakeStore().loseWritesOf(null);
-        assertThat(TestJobs.within(3_000, () -> state() == JobState.COMPLETED)).isTrue();
+        assertThat(TestJobs.within(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
         assertThat(TestJobs.within(3_000, () -> first.unnoted() + second.unnoted() == 0)).isTrue();
     }
 
     @Test
-    void nothingIsStartedOnAWorkerThatDoesNotAnswerLooks() throws InterruptedException
+    void nothingStartsOnWorkerThatMissesHeartbeats() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
         OwnerLease lease = beginTerm();
         Thread.sleep(300);
         worker.setSilent(true);
         Thread.sleep(5_000);
-        accept(ONE);
+        acceptJob(ONE_TASK);
         assertThat(TestJobs.within(2_000, () -> worker.startsAsked() > 0)).isFalse();
         worker.setSilent(false);
-        boolean begun = TestJobs.within(5_000, () -> worker.begun().equals(List.of(TASK + "/1")));
+        boolean hasStarted = TestJobs.within(5_000, () -> worker.begun().equals(List.of(TASK + "/1")));
         assertWithMessage(
-                "begun " + worker.begun() + ", term over: " + lease.hasEnded() + ' ' + lease.reason())
-                .that(begun).isTrue();
+                "started " + worker.begun() + ", term ended: " + lease.hasEnded() + ' ' + lease.endReason())
+                .that(hasStarted).isTrue();
     }
 
     @Test
-    void runsOfAWorkerThatStopsAnsweringStartElsewhereOnceItsLeaseIsOverAndNotBefore()
-            throws InterruptedException
+    void runsOfUnresponsiveWorkerRestartElsewhereOnlyAfterLeaseExpires() throws InterruptedException
     {
-        FakeWorker silent = platform.addWorker("w1");
+        FakeWorker unresponsive = platform.addWorker("w1");
         beginTerm();
-        accept(ONE);
-        assertThat(TestJobs.within(3_000, () -> !silent.begun().isEmpty())).isTrue();
-        silent.setSilent(true);
+        acceptJob(ONE_TASK);
+        assertThat(TestJobs.within(3_000, () -> !unresponsive.begun().isEmpty())).isTrue();
+        unresponsive.setSilent(true);
         FakeWorker other = platform.addWorker("w2");
         assertThat(TestJobs.within(4_500, () -> !other.begun().isEmpty())).isFalse();
         assertThat(TestJobs.within(4_500, () -> other.begun().equals(List.of(TASK + "/2")))).isTrue();
     }
 
     @Test
-    void anOwnerThatAWorkerFencesStops() throws InterruptedException
+    void ownerFencedByWorkerEndsItsTerm() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
         OwnerLease lease = beginTerm();
-        accept(ONE);
+        acceptJob(ONE_TASK);
         assertThat(TestJobs.within(3_000, () -> !worker.begun().isEmpty())).isTrue();
         worker.stop("other", 1, Long.MAX_VALUE, 100);
         assertThat(lease.awaitEnd(4_000)).isTrue();
     }
 
     @Test
-    void aStartWhoseTicketLapsedWhileItsPlacementWasWrittenIsDecidedAnew() throws InterruptedException
+    void startWithExpiredTicketIsDecidedAgain() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        platform.answerAdvice((step, ids,
+        platform.setAdvice((step, ids,
                 timeout) -> new Advice(ids.stream().map(id -> new Ticket(id, "ticket")).toList(), 500));
         platform.fakeStore().afterNextCommitOf(JobKeys.PROGRESS, () -> Thread.sleep(700));
         beginTerm();
-        acceptAdvised(ONE);
+        acceptAdvisedJob(ONE_TASK);
         assertThat(TestJobs.within(5_000, () -> !worker.begun().isEmpty())).isTrue();
         assertThat(worker.begun()).containsExactly(TASK + "/2");
         assertThat(worker.startsAsked()).isEqualTo(1);
     }
 
-    /**
-     * Another task of the step waits, so its tickets are kept fresh while the placement is written. The
-     * start was sent because there was a valid ticket, but it carried the one that had lapsed.
-     */
+    /** Guards against sending an expired ticket although a valid one for the same step is cached. */
     @Test
-    void aStartCarriesTheTicketThatIsValidWhenItIsSent() throws InterruptedException
+    void startCarriesTicketThatIsValidWhenSent() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
         AtomicInteger calls = new AtomicInteger();
-        platform.answerAdvice((step, ids, timeout) ->
+        platform.setAdvice((step, ids, timeout) ->
         {
             String text = "ticket-" + calls.incrementAndGet();
             return new Advice(ids.stream().map(id -> new Ticket(id, text)).toList(), 500);
         });
         platform.fakeStore().afterNextCommitOf(JobKeys.PROGRESS, () -> Thread.sleep(700));
         beginTerm();
-        acceptAdvised(TestJobs.step(2, 10_000, List.of()));
+        acceptAdvisedJob(TestJobs.step(2, 10_000, List.of()));
         assertThat(TestJobs.within(5_000, () -> worker.startsAsked() > 0)).isTrue();
         assertThat(calls.get()).isGreaterThan(1);
         assertThat(worker.newestTicket()).isNotEqualTo("ticket-1");
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerWarmupTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerWarmupTest.java
@@ -9,14 +9,14 @@
 import org.gaugehollow.placement.WaitingFirstScore;
 import org.junit.jupiter.api.Test;
 
-/** The rehearsal goes through whole jobs, so that it uses the code that an owner needs. */
+/** Tests that the warm-up runs complete jobs, so that it covers the code that an owner needs. */
 class OwnerWarmupTest
 {
     @Test
-    void eachRoundBringsAllItsJobsToTheirEnd()
+    void everyRoundCompletesAllItsJobs()
     {
-        OwnerWarmup rehearsal = new OwnerWarmup(null, null, new WaitingFirstScore(0.5));
-        assertThat(rehearsal.playRound()).isEqualTo(12);
-        assertThat(rehearsal.playRound()).isEqualTo(12);
+        OwnerWarmup warmup = new OwnerWarmup(null, null, new WaitingFirstScore(0.5));
+        assertThat(warmup.runRound()).isEqualTo(12);
+        assertThat(warmup.runRound()).isEqualTo(12);
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/SummaryWriterTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/SummaryWriterTest.java
@@ -14,27 +14,27 @@
 import org.gaugehollow.time.SteadyClock;
 import org.junit.jupiter.api.Test;
 
-/** The counts of waiting jobs that callers are told. */
+/** Tests the published counts of waiting jobs. */
 class SummaryWriterTest
 {
     private final FakeStore store = new FakeStore();
 
     @Test
-    void theCountsGoWithTheOwnersLease() throws InterruptedException
+    void countsAreRemovedWithOwnerLease() throws InterruptedException
     {
         long lease = store.grantLease(1_000);
         long revision = store.commit(new StoreTransaction().put(JobKeys.OWNER, new byte[]{'o'}, lease))
                 .orElseThrow();
         OwnerLease owner = new OwnerLease("bole-1", revision, lease, OwnerLease.UNKNOWN_FENCE);
-        CellState ledger = new CellState(SteadyClock::nanos, 0);
-        Thread writer = OwnerTerm.inBackground("summary", new SummaryWriter(store, ledger, owner)::run);
+        CellState cellState = new CellState(SteadyClock::nanos, 0);
+        Thread writer = OwnerTerm.inBackground("summary", new SummaryWriter(store, cellState, owner)::run);
         long end = SteadyClock.nanos() + TimeUnit.SECONDS.toNanos(5);
         while (store.get(JobKeys.SUMMARY).isEmpty() && SteadyClock.nanos() < end)
         {
             Thread.sleep(5);
         }
         assertThat(store.get(JobKeys.SUMMARY)).isPresent();
-        owner.end("over");
+        owner.end("test");
         writer.join();
         store.revokeLease(lease);
         assertThat(store.get(JobKeys.SUMMARY)).isEmpty();
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/TestTerm.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/TestTerm.java
@@ -19,65 +19,64 @@
 import org.gaugehollow.platform.StoredValue;
 import org.gaugehollow.supervise.Supervisor;
 
-/** A term of an owner against a platform in memory, confirmed as the election does it. */
+/** Runs a term of an owner on an in-memory platform and confirms it as the election does. */
 final class TestTerm implements AutoCloseable
 {
-    private static final long LONG_RETENTION_NANOS = TimeUnit.SECONDS.toNanos(60);
+    private static final long RETENTION_NANOS = TimeUnit.SECONDS.toNanos(60);
     private static final long CONFIRM_MILLIS = 300;
     private static final String CONFIRMATIONS = "confirmations";
-    /** A configuration without customers. */
-    private static final CellConfig OPEN = new CellConfig(1, List.of(), List.of("service"), Customers.NONE);
+    /** Configuration without customers. */
+    private static final CellConfig CONFIG = new CellConfig(1, List.of(), List.of("service"), Customers.NONE);
 
     private final Supervisor supervisor;
     private final OwnerLease lease;
     private final OwnerTerm term;
 
-    /** Begins a term of a box; whoever owned the cell before owns it no more. */
+    /** Begins a term of a box, which replaces the previous owner. */
     TestTerm(FakePlatform platform, String box) throws InterruptedException
     {
-        this(platform, box, new EventLog(box, new HybridClock(System::currentTimeMillis)),
-                LONG_RETENTION_NANOS);
+        this(platform, box, new EventLog(box, new HybridClock(System::currentTimeMillis)), RETENTION_NANOS);
     }
 
     /**
-     * Begins a term of a box; whoever owned the cell before owns it no more.
+     * Begins a term of a box, which replaces the previous owner.
      *
      * @param platform the platform
-     * @param box the box
-     * @param events where the term records what happens
-     * @param retentionNanos how long records of jobs that are over are kept
+     * @param box id of the box
+     * @param events log for the events of the term
+     * @param retentionNanos time for which records of finished jobs are kept, in nanoseconds
      */
     TestTerm(FakePlatform platform, String box, EventLog events, long retentionNanos)
             throws InterruptedException
     {
-        this(platform, box, events, retentionNanos, () -> OPEN);
+        this(platform, box, events, retentionNanos, () -> CONFIG);
     }
 
-    /** The same, with a configuration that may change; see above. */
+    /** Begins a term with a configuration that may change. */
     TestTerm(FakePlatform platform, String box, EventLog events, long retentionNanos,
             Supplier<CellConfig> config) throws InterruptedException
     {
-        byte[] mark = box.getBytes(StandardCharsets.UTF_8);
+        byte[] ownerValue = box.getBytes(StandardCharsets.UTF_8);
         long previousFence = platform.store().get(JobKeys.OWNER).map(StoredValue::modRevision)
                 .orElse(OwnerLease.UNKNOWN_FENCE);
-        long revision = platform.store()
-                .commit(new StoreTransaction().put(JobKeys.OWNER, mark).put(JobKeys.JOURNAL, mark))
+        long revision = platform.store().commit(
+                new StoreTransaction().put(JobKeys.OWNER, ownerValue).put(JobKeys.JOURNAL, ownerValue))
                 .orElseThrow();
         supervisor = new Supervisor(box, events);
         lease = new OwnerLease(box, revision, 1, previousFence);
         term = new OwnerTerm(platform, lease, events, supervisor.child("term"), config,
                 new AdviceDispatcher(platform.advice(), events), new WaitingFirstScore(0.5), retentionNanos);
-        confirm();
+        startConfirming();
         term.begin();
     }
 
-    /** The store confirms the term from now on, again and again. */
-    void confirm()
+    /** Starts confirming the term periodically. */
+    void startConfirming()
     {
-        supervisor.start(CONFIRMATIONS, this::confirmForever);
+        supervisor.start(CONFIRMATIONS, this::confirmPeriodically);
     }
 
-    private void confirmForever() throws InterruptedException
+    private void confirmPeriodically() throws InterruptedException
     {
         while (true)
         {
@@ -86,7 +85,7 @@
         }
     }
 
-    /** The store confirms the term no more. */
+    /** Stops confirming the term. */
     void stopConfirming()
     {
         supervisor.stop(CONFIRMATIONS);
@@ -102,11 +101,11 @@
         return term;
     }
 
-    /** Its box is gone: it sends and writes nothing any more. */
+    /** Ends the term as if its box had stopped. */
     @Override
     public void close()
     {
-        lease.end("the box is gone");
+        lease.end("box has stopped");
         term.close();
         supervisor.close();
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/UnconfirmedTermTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/UnconfirmedTermTest.java
@@ -17,26 +17,26 @@
 import org.junit.jupiter.api.parallel.ExecutionMode;
 
 /**
- * Terms that the store did not confirm for so long that nothing could be ordered, and then
- * confirmed again before they were ended, as after a pause of the whole process.
+ * Tests terms that may not send commands for lack of confirmation and are confirmed again before
+ * they end, as after a pause of the process.
  */
 @Execution(ExecutionMode.CONCURRENT)
 class UnconfirmedTermTest
 {
     private static final String TASK = TestJobs.ID + ".0.0.0";
-    private static final long MILLIS_WITHOUT_RIGHTS = 3_000;
-    private static final long SOON_MILLIS = 5_000;
+    private static final long UNCONFIRMED_MILLIS = 3_000;
+    private static final long TIMEOUT_MILLIS = 5_000;
 
     private final FakePlatform platform = new FakePlatform();
     private FakeWorker worker;
     private TestTerm term;
 
     @BeforeEach
-    void begin() throws InterruptedException
+    void beginTerm() throws InterruptedException
     {
         worker = platform.addWorker("w1");
         term = new TestTerm(platform, "box");
-        assertThat(TestJobs.within(SOON_MILLIS, () -> worker.looks() > 1)).isTrue();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.looks() > 1)).isTrue();
     }
 
     @AfterEach
@@ -45,52 +45,52 @@
         term.close();
     }
 
-    private void loseRights() throws InterruptedException
+    private void awaitUnconfirmed() throws InterruptedException
     {
         term.stopConfirming();
-        long silence = TimeUnit.NANOSECONDS.toMillis(OwnerLease.LONGEST_SILENCE_NANOS);
-        assertThat(TestJobs.within(silence + SOON_MILLIS, () -> !term.lease().maySendCommands())).isTrue();
+        long maxUnconfirmedMillis = TimeUnit.NANOSECONDS.toMillis(OwnerLease.MAX_UNCONFIRMED_NANOS);
+        assertThat(
+                TestJobs.within(maxUnconfirmedMillis + TIMEOUT_MILLIS, () -> !term.lease().maySendCommands()))
+                .isTrue();
     }
 
-    private void accept() throws InterruptedException
+    private void acceptJob() throws InterruptedException
     {
         platform.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 1_000, List.of())));
     }
 
-    private void assertBegins() throws InterruptedException
+    private void assertTaskRuns() throws InterruptedException
     {
-        boolean begun = TestJobs.within(SOON_MILLIS, () -> worker.isRunning(TASK));
-        assertWithMessage("begun " + worker.begun() + ", looks " + worker.looks()).that(begun).isTrue();
+        boolean isRunning = TestJobs.within(TIMEOUT_MILLIS, () -> worker.isRunning(TASK));
+        assertWithMessage("started " + worker.begun() + ", heartbeats " + worker.looks()).that(isRunning)
+                .isTrue();
         assertThat(term.lease().hasEnded()).isFalse();
     }
 
-    /**
-     * The looks at a worker used to end for good once the term was found unconfirmed between two of
-     * them. The term went on, and no end on that worker was noted by it any more.
-     */
+    /** Guards against heartbeats that stop for the rest of the term after it was unconfirmed. */
     @Test
-    void workersAreLookedAtAgainOnceTheTermIsConfirmed() throws InterruptedException
+    void heartbeatsResumeOnceTermIsConfirmed() throws InterruptedException
     {
-        loseRights();
-        Thread.sleep(MILLIS_WITHOUT_RIGHTS);
-        int looks = worker.looks();
-        term.confirm();
-        assertThat(TestJobs.within(SOON_MILLIS, () -> worker.looks() > looks)).isTrue();
+        awaitUnconfirmed();
+        Thread.sleep(UNCONFIRMED_MILLIS);
+        int heartbeats = worker.looks();
+        term.startConfirming();
+        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.looks() > heartbeats)).isTrue();
         assertThat(term.lease().hasEnded()).isFalse();
     }
 
     /**
-     * A task that was placed while nothing could be ordered used to stay placed for good: its start was
-     * given up without a word.
+     * Guards against a task that stays placed without being started, because its start was dropped
+     * while the term was unconfirmed.
      */
     @Test
-    void aJobThatCameWhileNothingCouldBeOrderedBeginsOnceTheTermIsConfirmed() throws InterruptedException
+    void jobAcceptedWhileUnconfirmedStartsOnceTermIsConfirmed() throws InterruptedException
     {
-        loseRights();
-        accept();
-        Thread.sleep(MILLIS_WITHOUT_RIGHTS);
+        awaitUnconfirmed();
+        acceptJob();
+        Thread.sleep(UNCONFIRMED_MILLIS);
         assertThat(worker.startsAsked()).isEqualTo(0);
-        term.confirm();
-        assertBegins();
+        term.startConfirming();
+        assertTaskRuns();
     }
 }
