--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceCache.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceCache.java
@@ -38,7 +38,7 @@
     {
         /** Newest ticket of each allowed worker, by incarnation. */
         private final Map<String, CachedTicket> allowed = new HashMap<>();
-        private final Set<String> judged = new HashSet<>();
+        private final Set<String> evaluatedIds = new HashSet<>();
         private boolean isRequestPending;
         private long retryNotBeforeNanos = Long.MIN_VALUE;
         /** Expiry of the newest tickets. */
@@ -72,7 +72,7 @@
     public boolean isDenied(Step step, TrackedWorker worker)
     {
         StepAdvice advice = steps.get(step.name());
-        return advice != null && advice.judged.contains(worker.id())
+        return advice != null && advice.evaluatedIds.contains(worker.id())
                 && !advice.allowed.containsKey(worker.id());
     }
 
@@ -117,7 +117,7 @@
     }
 
     /** Evicts the advice for the steps of a job. */
-    void forget(Job job)
+    void evict(Job job)
     {
         job.steps().forEach(step -> steps.remove(step.name()));
     }
@@ -150,7 +150,7 @@
         {
             boolean hasService = worker.acceptsStarts()
                     && worker.entry().service().equals(step.job().queue().service());
-            if (hasService && step.hasLabel(worker.entry()) && !isDenied(step, worker))
+            if (hasService && step.hasRequiredLabel(worker.entry()) && !isDenied(step, worker))
             {
                 workers.add(worker);
             }
@@ -201,7 +201,7 @@
         }
         Map<String, String> incarnationsByWorker = new HashMap<>();
         workers.forEach(worker -> incarnationsByWorker.put(worker.workerId(), worker.id()));
-        advice.judged.addAll(incarnationsByWorker.values());
+        advice.evaluatedIds.addAll(incarnationsByWorker.values());
         long validMillis = reply.get().validMillis() > 0 ? reply.get().validMillis() : spec.validMillis();
         long endNanos = nowNanos + (validMillis - EXPIRY_MARGIN_MILLIS) * NANOS_PER_MILLI;
         advice.ticketsEndNanos = endNanos;
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceCandidates.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceCandidates.java
@@ -13,8 +13,8 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * Selects the workers that an advice call asks about. Workers with free capacity come first, in an
- * order specific to the step so that concurrent calls spread over different workers. The number is
+ * Selects the workers for an advice call. Workers with free capacity come first, in an order
+ * specific to the step so that concurrent calls spread over different workers. The number is
  * limited to what the waiting tasks are expected to need, because long calls would delay steps
  * beyond their objective.
  */
@@ -47,12 +47,12 @@
     /**
      * A worker with the number of the step's tasks that fit on it now and its rank in the step's order.
      */
-    private record Candidate(TrackedWorker worker, int taskCapacity, int order)
+    private record Candidate(TrackedWorker worker, int taskCapacity, int rank)
     {
     }
 
     /**
-     * Chooses the workers to ask about.
+     * Chooses the workers for an advice call.
      *
      * @param workers the candidates
      * @return the chosen workers, in descending preference
@@ -68,7 +68,7 @@
         candidates.sort(Comparator.comparing((Candidate candidate) -> candidate.taskCapacity() == 0)
                 .thenComparing(candidate -> !isInPreferredRack(candidate.worker()))
                 .thenComparing(candidate -> !allowedWorkers.contains(candidate.worker().id()))
-                .thenComparingInt(Candidate::order));
+                .thenComparingInt(Candidate::rank));
         return selectEnough(candidates);
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceDispatcher.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/AdviceDispatcher.java
@@ -37,12 +37,12 @@
      * A call that waits for a channel.
      *
      * @param step the full name of the step
-     * @param workers the ids of the workers to judge
+     * @param workers the ids of the workers to evaluate
      * @param expectedMillis expected duration in milliseconds
      * @param priority 0 is the most urgent
-     * @param order rank among calls of the same priority, lowest first
+     * @param rank rank among calls of the same priority, lowest first
      */
-    record Call(String step, List<String> workers, double expectedMillis, int priority, long order)
+    record Call(String step, List<String> workers, double expectedMillis, int priority, long rank)
     {
         boolean isShort()
         {
@@ -73,7 +73,7 @@
 
     private final Map<String, Channel> channels = new LinkedHashMap<>();
     private final TreeSet<Call> waiting = new TreeSet<>(
-            Comparator.comparingInt(Call::priority).thenComparingLong(Call::order).thenComparing(Call::step));
+            Comparator.comparingInt(Call::priority).thenComparingLong(Call::rank).thenComparing(Call::step));
     private final EventLog events;
 
     /**
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/CellState.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/CellState.java
@@ -29,7 +29,8 @@
  * In-memory state of the cell's jobs and workers, kept by the cell's owner. It performs no I/O:
  * each change returns the {@link Effects} to send and store.
  * <p>
- * Not thread-safe. Every method must be called while holding this object's monitor.
+ * Not thread-safe. Callers must hold the monitor of this object, which is the lock of the cell
+ * state.
  */
 final class CellState
 {
@@ -43,9 +44,9 @@
     private final CrashGuard crashGuard;
     private final RunEndHandler runEnds;
     private final JobRestoration restoration;
-    private final WeightRates rates = new WeightRates();
-    /** Jobs accepted since the jobs were last ordered, whose rates are not computed yet. */
-    private final List<Job> unratedJobs = new ArrayList<>();
+    private final WeightLimiter weightLimiter = new WeightLimiter();
+    /** Jobs accepted since the last planning round, which are not yet classified by weight. */
+    private final List<Job> unclassifiedJobs = new ArrayList<>();
     private CellConfig config = CellConfig.NONE;
 
     /**
@@ -90,7 +91,7 @@
             restoration.restore(job, progress);
         }
         jobs.put(job.id(), job);
-        unratedJobs.add(job);
+        unclassifiedJobs.add(job);
         if (retired.takeCancellation(job.id()).filter(c -> c.appliesTo(record)).isPresent())
         {
             finish(job, JobState.CANCELLED, effects);
@@ -120,7 +121,7 @@
         restoration.restore(job, progress);
         jobs.put(job.id(), job);
         stopAll(job, effects);
-        effects.changed(job);
+        effects.markChanged(job);
     }
 
     /** Cancels a job. The cancellation may arrive before the job itself. */
@@ -155,13 +156,13 @@
             return;
         }
         job.setState(state);
-        effects.changed(job);
+        effects.markChanged(job);
         stopAll(job, effects);
     }
 
     private static void stopAll(Job job, Effects effects)
     {
-        for (Task task : job.occupying())
+        for (Task task : job.tasksOnWorkers())
         {
             if (task.phase() != Task.Phase.STOPPING)
             {
@@ -245,7 +246,7 @@
     {
         if (!task.step().job().state().isFinal())
         {
-            effects.givenUp(task);
+            effects.addPoisonTask(task);
             crashGuard.confirmPoison(task);
             finish(task.step().job(), JobState.FAILED, effects);
         }
@@ -253,7 +254,7 @@
 
     private static void releaseLost(Task task, Effects effects)
     {
-        effects.changed(task.step().job());
+        effects.markChanged(task.step().job());
         release(task, effects);
     }
 
@@ -265,16 +266,16 @@
     {
         task.release();
         Job job = task.step().job();
-        finishIfAllDone(job, effects);
+        completeIfAllDone(job, effects);
         if (job.state().isFinal())
         {
-            effects.changed(job);
+            effects.markChanged(job);
         }
     }
 
-    static void finishIfAllDone(Job job, Effects effects)
+    static void completeIfAllDone(Job job, Effects effects)
     {
-        if (job.allDone())
+        if (job.areAllStepsDone())
         {
             finish(job, JobState.COMPLETED, effects);
         }
@@ -293,7 +294,7 @@
     {
         Effects effects = new Effects();
         long now = nanoTime.getAsLong();
-        worker.readClock(reply.clockMillis(), now);
+        worker.updateClock(reply.clockMillis(), now);
         worker.recordHeartbeat(now);
         crashGuard.onWorkerResponded(worker);
         for (EndedRun end : reply.ended())
@@ -319,16 +320,16 @@
     private void handleReportedRun(TrackedWorker worker, RunningRun run, Set<Task> reportedTasks,
             Effects effects)
     {
-        Task task = find(run.task());
+        Task task = findTask(run.task());
         if (task == null || !task.isAt(worker, run.run()))
         {
             worker.addOrphanRun(task == null ? null : task.step());
-            effects.stopUnknown(worker, run.task(), run.run());
+            effects.stopOrphanRun(worker, run.task(), run.run());
             return;
         }
         long now = nanoTime.getAsLong();
         reportedTasks.add(task);
-        task.begun(now);
+        task.markRunning(now);
         task.observe(run.percent(), run.gauge(), now);
         saveCheckpoint(task, run.checkpoint());
     }
@@ -338,11 +339,11 @@
     {
         if (task.step().spec().gang())
         {
-            task.step().savedByGang(checkpoint);
+            task.step().saveGangCheckpoint(checkpoint);
         }
         else
         {
-            task.saved(checkpoint);
+            task.saveCheckpoint(checkpoint);
         }
     }
 
@@ -361,19 +362,19 @@
     }
 
     /** Returns the task with the given full name, or null if its job is unknown or was removed. */
-    Task find(String fullName)
+    Task findTask(String fullName)
     {
         TaskName name = TaskName.parse(fullName);
         Job job = name == null ? null : jobs.get(name.job());
-        return job == null ? null : job.find(name);
+        return job == null ? null : job.findTask(name);
     }
 
     /** Returns the jobs with a task that is ready to start, in scheduling order. */
     List<Job> waitingByUrgency(long wallMillis)
     {
-        rates.rate(unratedJobs, config.customers());
-        unratedJobs.clear();
-        return JobOrder.waiting(jobs.values(), wallMillis);
+        weightLimiter.classify(unclassifiedJobs, config.customers());
+        unclassifiedJobs.clear();
+        return JobOrder.waitingByUrgency(jobs.values(), wallMillis);
     }
 
     /** Returns the priority of the least urgent queue with tasks on workers; 0 is the most urgent. */
@@ -411,7 +412,7 @@
     }
 
     /** Returns all tracked workers, whether or not they are listed. */
-    TrackedWorkers slots()
+    TrackedWorkers trackedWorkers()
     {
         return workers;
     }
@@ -422,12 +423,12 @@
     }
 
     /** Applies a worker's newest entry and returns the tracked worker. */
-    TrackedWorker list(WorkerEntry entry)
+    TrackedWorker updateWorker(WorkerEntry entry)
     {
-        return workers.list(entry);
+        return workers.update(entry);
     }
 
-    Optional<TrackedWorker> worker(String id)
+    Optional<TrackedWorker> findWorker(String id)
     {
         return workers.find(id);
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/CrashGuard.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/CrashGuard.java
@@ -43,7 +43,7 @@
      */
     static final int TOTAL_CRASH_THRESHOLD = 4;
     /** Run time after which a run has survived its start. */
-    static final long TRIAL_MILLIS = 250;
+    static final long STARTUP_MILLIS = 250;
     /** Observed run time after which the crash history of a task is cleared. */
     static final long CLEAR_AFTER_MILLIS = 10_000;
 
@@ -98,8 +98,7 @@
     /**
      * Records that all runs of a worker have ended. Must be called before its tasks are released.
      *
-     * @return the tasks that are certainly poison; the remaining tasks are judged after these have been
-     *         failed
+     * @return the confirmed poison tasks; the remaining tasks are checked after these have been failed
      */
     List<Task> onWorkerLost(TrackedWorker worker, WorkerLossCause cause, Effects effects)
     {
@@ -126,7 +125,7 @@
     {
         List<UnresponsiveRun> runs = worker.removeAbandonedRuns();
         runs.removeIf(run -> run.task().phase() == Task.Phase.DONE);
-        runs.forEach(run -> effects.changed(run.task().step().job()));
+        runs.forEach(run -> effects.markChanged(run.task().step().job()));
         runs.addAll(possiblyStartedRuns(worker));
         boolean isCorrelated = recentCrashes.isCorrelated(worker);
         recentCrashes.add(worker);
@@ -158,7 +157,7 @@
     /** Returns the runs that may have started on a worker and were not abandoned. */
     private static List<UnresponsiveRun> possiblyStartedRuns(TrackedWorker worker)
     {
-        return worker.tasks().stream().filter(Task::mayHaveBegun)
+        return worker.tasks().stream().filter(Task::mayHaveStarted)
                 .map(task -> UnresponsiveRun.of(task, worker)).toList();
     }
 
@@ -237,7 +236,7 @@
         for (Iterator<Task> iterator = trackedTasks.iterator(); iterator.hasNext();)
         {
             Task task = iterator.next();
-            if (task.occupies() && task.seenMillis() >= CLEAR_AFTER_MILLIS)
+            if (task.isOnWorker() && task.observedMillis() >= CLEAR_AFTER_MILLIS)
             {
                 task.setCrashes(CrashHistory.NONE);
             }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Effects.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Effects.java
@@ -17,12 +17,12 @@
     /**
      * A run that has to be stopped.
      *
-     * @param slot the worker of the run
+     * @param worker the worker of the run
      * @param taskName the full name of the task
      * @param run the run number
      * @param task the task, or null if the cell state does not know the run
      */
-    record Stop(TrackedWorker slot, String taskName, int run, Task task)
+    record Stop(TrackedWorker worker, String taskName, int run, Task task)
     {
     }
 
@@ -32,10 +32,10 @@
      * @param task the full name of the task
      * @param run the run number
      * @param worker the id of the worker
-     * @param end the cause of the loss
-     * @param seenMillis the observed run time in milliseconds
+     * @param cause the cause of the loss
+     * @param observedMillis the observed run time in milliseconds
      */
-    record LostRun(String task, int run, String worker, WorkerLossCause end, long seenMillis)
+    record LostRun(String task, int run, String worker, WorkerLossCause cause, long observedMillis)
     {
     }
 
@@ -49,31 +49,31 @@
     {
     }
 
-    private final Set<Job> changed = new LinkedHashSet<>();
+    private final Set<Job> changedJobs = new LinkedHashSet<>();
     private final List<Stop> stops = new ArrayList<>();
     private final List<LostRun> lostRuns = new ArrayList<>();
     private final List<PoisonTask> poisonTasks = new ArrayList<>();
 
     /** Marks the progress of a job as changed. */
-    void changed(Job job)
+    void markChanged(Job job)
     {
-        job.changed();
-        changed.add(job);
+        job.markChanged();
+        changedJobs.add(job);
     }
 
     /** Adds a job whose earlier change may not be stored yet. */
     void addUnwritten(Job job)
     {
-        changed.add(job);
+        changedJobs.add(job);
     }
 
     void stop(Task task)
     {
-        task.stopping();
+        task.markStopping();
         stops.add(new Stop(task.worker(), task.name(), task.run(), task));
     }
 
-    void stopUnknown(TrackedWorker worker, String taskName, int run)
+    void stopOrphanRun(TrackedWorker worker, String taskName, int run)
     {
         stops.add(new Stop(worker, taskName, run, null));
     }
@@ -81,13 +81,13 @@
     /** Adds a run that was lost with its worker. */
     void addLostRun(Task task, TrackedWorker worker, WorkerLossCause cause)
     {
-        lostRuns.add(new LostRun(task.name(), task.run(), worker.id(), cause, task.seenMillis()));
+        lostRuns.add(new LostRun(task.name(), task.run(), worker.id(), cause, task.observedMillis()));
     }
 
     /** Returns the jobs whose progress is to be written. */
-    Set<Job> changed()
+    Set<Job> changedJobs()
     {
-        return changed;
+        return changedJobs;
     }
 
     List<Stop> stops()
@@ -96,12 +96,12 @@
     }
 
     /** Adds a task that fails as poison. */
-    void givenUp(Task task)
+    void addPoisonTask(Task task)
     {
         poisonTasks.add(new PoisonTask(task.name(), task.crashes()));
     }
 
-    List<PoisonTask> givenUp()
+    List<PoisonTask> poisonTasks()
     {
         return poisonTasks;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/ExpiringLeases.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/ExpiringLeases.java
@@ -125,7 +125,7 @@
         synced = false;
         synchronized (cellState)
         {
-            cellState.slots().restoreExpiringLeases(leaseEnds);
+            cellState.trackedWorkers().restoreExpiringLeases(leaseEnds);
         }
         events.record(EventType.LAPSING_RECORDED, owner.box(),
                 "adopted from the previous term: " + leaseRecord.millisLeft());
@@ -182,7 +182,7 @@
             boolean isNew = !leaseEnds.containsKey(worker.id());
             if (isNew && !worker.isIdle() && worker.isUnresponsiveFor(MIN_UNRESPONSIVE_NANOS, now))
             {
-                cellState.slots().stopLeaseRenewal(worker);
+                cellState.trackedWorkers().stopLeaseRenewal(worker);
                 leaseEnds.put(worker.id(), worker.leaseEndNanos());
             }
         }
@@ -192,7 +192,7 @@
     {
         leaseEnds.entrySet().removeIf(entry ->
         {
-            boolean isResponsive = cellState.worker(entry.getKey()).map(TrackedWorker::isResponsive)
+            boolean isResponsive = cellState.findWorker(entry.getKey()).map(TrackedWorker::isResponsive)
                     .orElse(false);
             return isResponsive || now - entry.getValue() > RETENTION_NANOS;
         });
@@ -252,7 +252,7 @@
         possiblyRecorded.retainAll(ids);
         synchronized (cellState)
         {
-            removed.forEach(cellState.slots()::resumeLeaseRenewal);
+            removed.forEach(cellState.trackedWorkers()::resumeLeaseRenewal);
         }
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Job.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Job.java
@@ -16,7 +16,7 @@
 import org.gaugehollow.job.QueueSpec;
 import org.gaugehollow.job.StepSpec;
 
-/** An accepted job in the owner's memory. Guarded by the lock of the cell state. */
+/** An accepted job in the cell state. Guarded by the lock of the cell state. */
 final class Job
 {
     /** Multiple of its objective after which a job no longer benefits from planning ahead of others. */
@@ -192,7 +192,7 @@
         return true;
     }
 
-    boolean allDone()
+    boolean areAllStepsDone()
     {
         return rounds.size() == record.job().rounds()
                 && rounds.values().stream().flatMap(List::stream).allMatch(Step::isDone);
@@ -218,16 +218,16 @@
     /** Returns whether the job has ended and no run of it may still exist. */
     boolean isFinished()
     {
-        return state.isFinal() && occupying().isEmpty();
+        return state.isFinal() && tasksOnWorkers().isEmpty();
     }
 
-    /** Returns the tasks that occupy a worker. */
-    List<Task> occupying()
+    /** Returns the tasks that are on workers. */
+    List<Task> tasksOnWorkers()
     {
-        return steps().stream().flatMap(step -> step.tasks().stream()).filter(Task::occupies).toList();
+        return steps().stream().flatMap(step -> step.tasks().stream()).filter(Task::isOnWorker).toList();
     }
 
-    Task find(TaskName name)
+    Task findTask(TaskName name)
     {
         List<Step> round = rounds.get(name.round());
         if (round == null || name.step() >= round.size())
@@ -239,7 +239,7 @@
     }
 
     /** Records a change of the progress that must be stored. */
-    void changed()
+    void markChanged()
     {
         changeCount++;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/JobOrder.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/JobOrder.java
@@ -35,7 +35,7 @@
      * @param jobs jobs, ended or not
      * @param wallMillis the wall-clock time, in milliseconds since 1970
      */
-    static List<Job> waiting(Collection<Job> jobs, long wallMillis)
+    static List<Job> waitingByUrgency(Collection<Job> jobs, long wallMillis)
     {
         List<RankedJob> ranked = new ArrayList<>();
         for (Job job : jobs)
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/JobRestoration.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/JobRestoration.java
@@ -12,8 +12,8 @@
 import org.gaugehollow.job.JobProgress.TaskProgress;
 
 /**
- * Restores a job to the state recorded by an earlier owner. Not thread-safe; callers hold the
- * monitor of the cell state.
+ * Restores a job to the state recorded by an earlier owner. Not thread-safe; guarded by the lock of
+ * the cell state.
  */
 final class JobRestoration
 {
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerTerm.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerTerm.java
@@ -60,7 +60,7 @@
     private final Journal journal;
     private final AdviceCache adviceCache;
     private final Planner planner;
-    private final QuotaWatch quotaWatch;
+    private final QuotaMonitor quotaMonitor;
     private final Evacuation evacuation;
     private final StallGuard stallGuard;
     private final SlowWorkerGuard slowWorkerGuard;
@@ -83,7 +83,7 @@
         this.journal = new Journal(platform.store(), cellState, lease, events);
         this.adviceCache = new AdviceCache(cellState, adviceDispatcher, this::wake);
         this.planner = new Planner(cellState, adviceCache, score);
-        this.quotaWatch = new QuotaWatch(events);
+        this.quotaMonitor = new QuotaMonitor(events);
         this.evacuation = new Evacuation(cellState);
         this.stallGuard = new StallGuard(cellState);
         this.slowWorkerGuard = new SlowWorkerGuard(cellState);
@@ -188,7 +188,7 @@
         apply(slowRuns);
         expired.forEach(this::applyLoss);
         applyLoss(poisoned);
-        quotaWatch.planned(plan.atQuota(), SteadyClock.nanos());
+        quotaMonitor.onPlan(plan.atQuota(), SteadyClock.nanos());
         plan.preemptions().forEach(this::applyPreemption);
         sendStartsOnceWritten(plan.starts());
     }
@@ -216,14 +216,14 @@
         for (Effects.Stop stop : effects.stops())
         {
             events.record(EventType.TASK_MOVED, stop.taskName(),
-                    "run " + stop.run() + " on " + stop.slot().id() + ": " + reason);
+                    "run " + stop.run() + " on " + stop.worker().id() + ": " + reason);
         }
     }
 
     private List<Effects> releaseExpiredWorkers()
     {
         List<Effects> allEffects = new ArrayList<>();
-        for (TrackedWorker worker : cellState.slots().withExpiredLease())
+        for (TrackedWorker worker : cellState.trackedWorkers().withExpiredLease())
         {
             if (SteadyClock.nanos() - worker.leaseEndNanos() > RUN_END_MARGIN_NANOS)
             {
@@ -237,15 +237,15 @@
 
     private void sendStart(Planner.Start start)
     {
-        Optional<WorkerSession> session = workerSessions.session(start.slot().id());
+        Optional<WorkerSession> session = workerSessions.session(start.worker().id());
         if (session.isPresent())
         {
-            inBackground(start.task().name(), () -> session.get().orders().start(start));
+            inBackground(start.task().name(), () -> session.get().commands().start(start));
             return;
         }
         synchronized (cellState)
         {
-            if (start.task().isAt(start.slot(), start.run()))
+            if (start.task().isAt(start.worker(), start.run()))
             {
                 start.task().release();
             }
@@ -289,18 +289,18 @@
     {
         for (Effects.Stop stop : effects.stops())
         {
-            workerSessions.session(stop.slot().id()).ifPresent(
-                    session -> inBackground(stop.taskName(), () -> session.orders().stops().send(stop)));
+            workerSessions.session(stop.worker().id()).ifPresent(session -> inBackground(stop.taskName(),
+                    () -> session.commands().stopCommands().send(stop)));
         }
         synchronized (cellState)
         {
-            effects.changed().stream().filter(job -> job.state().isFinal()).forEach(adviceCache::forget);
+            effects.changedJobs().stream().filter(job -> job.state().isFinal()).forEach(adviceCache::evict);
         }
-        if (!effects.changed().isEmpty())
+        if (!effects.changedJobs().isEmpty())
         {
             wake();
         }
-        journal.enqueue(effects.changed(), onWritten);
+        journal.enqueue(effects.changedJobs(), onWritten);
     }
 
     /**
@@ -316,7 +316,7 @@
         {
             wasHandledBefore = worker.entry() == null && worker.isIdle();
             cause = worker.isLeaving() ? WorkerLossCause.LEFT : WorkerLossCause.CRASHED;
-            worker.unlisted();
+            worker.clearEntry();
             effects = cellState.onWorkerLost(worker, cause);
         }
         if (!wasHandledBefore)
@@ -324,7 +324,7 @@
             events.record(EventType.WORKER_LOST, worker.id(), cause.description());
         }
         applyLoss(effects);
-        workerSessions.over(worker);
+        workerSessions.onIncarnationEnded(worker);
         wake();
     }
 
@@ -337,8 +337,8 @@
         List<TrackedWorker> replaced;
         synchronized (cellState)
         {
-            replaced = cellState.slots().otherIncarnations(worker).stream()
-                    .filter(incarnation -> incarnation.knownNanos() - sentNanos < 0).toList();
+            replaced = cellState.trackedWorkers().otherIncarnations(worker).stream()
+                    .filter(incarnation -> incarnation.firstSeenNanos() - sentNanos < 0).toList();
         }
         replaced.forEach(this::onIncarnationChanged);
     }
@@ -353,7 +353,7 @@
     private void applyLoss(Effects effects)
     {
         recordLostRuns(effects);
-        effects.givenUp().forEach(task -> events.record(EventType.TASK_GIVEN_UP, task.task(),
+        effects.poisonTasks().forEach(task -> events.record(EventType.TASK_GIVEN_UP, task.task(),
                 "crashed workers: " + task.crashes().crashes()));
         apply(effects);
     }
@@ -363,17 +363,17 @@
         for (Effects.LostRun run : effects.lostRuns())
         {
             events.record(EventType.RUN_LOST, run.task(), "run " + run.run() + " on " + run.worker() + ": "
-                    + run.end().description() + ", observed running for " + run.seenMillis() + " ms");
+                    + run.cause().description() + ", observed running for " + run.observedMillis() + " ms");
         }
     }
 
     /** Removes the session of a worker that is unlisted, idle and unresponsive. */
     void onSessionEnded(TrackedWorker worker)
     {
-        workerSessions.forget(worker);
+        workerSessions.closeSession(worker);
     }
 
-    void logEnds(TrackedWorker worker, HeartbeatReply reply, long lastEndNumber)
+    void recordEnds(TrackedWorker worker, HeartbeatReply reply, long lastEndNumber)
     {
         for (EndedRun end : reply.ended())
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerWarmup.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/OwnerWarmup.java
@@ -116,7 +116,7 @@
         {
             for (int i = 0; i < WORKERS; i++)
             {
-                TrackedWorker worker = cellState.list(worker(i));
+                TrackedWorker worker = cellState.updateWorker(worker(i));
                 worker.recordHeartbeat(SteadyClock.nanos());
                 workers.add(worker);
             }
@@ -166,7 +166,7 @@
             unresponsiveWorkerGuard.check(now);
             for (Planner.Start start : planner.plan(now, System.currentTimeMillis()).starts())
             {
-                start.task().begun(now);
+                start.task().markRunning(now);
                 start.task().settle(now);
                 encodeProgress(start.task().step().job());
             }
@@ -198,7 +198,7 @@
         private void heartbeat(TrackedWorker worker, HeartbeatReply reply, long lastEndNumber)
         {
             for (Job job : cellState.applyHeartbeat(worker, reply, lastEndNumber, SteadyClock.nanos())
-                    .changed())
+                    .changedJobs())
             {
                 encodeProgress(job);
                 completed += job.state() == JobState.COMPLETED ? 1 : 0;
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Planner.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Planner.java
@@ -27,11 +27,11 @@
      *
      * @param task the task
      * @param run the number of the run to start
-     * @param slot the worker
+     * @param worker the worker
      * @param checkpoint the checkpoint to resume from, or null
      * @param ticket the ticket of the advice service, or null
      */
-    record Start(Task task, int run, TrackedWorker slot, String checkpoint, String ticket)
+    record Start(Task task, int run, TrackedWorker worker, String checkpoint, String ticket)
     {
     }
 
@@ -243,7 +243,7 @@
     {
         WorkerEntry entry = worker.entry();
         boolean offersService = entry.service().equals(step.job().queue().service());
-        return offersService && step.hasLabel(entry) && !tickets.isDenied(step, worker);
+        return offersService && step.hasRequiredLabel(entry) && !tickets.isDenied(step, worker);
     }
 
     private boolean hasCapacityOnAny(Step step, List<TrackedWorker> workers)
@@ -302,7 +302,7 @@
 
     private void start(Task task, int run, TrackedWorker worker, String checkpoint, Plan plan, long nowNanos)
     {
-        task.order(worker, run, nowNanos);
+        task.assign(worker, run, nowNanos);
         quotaUsage.add(task.step());
         if (task.isSuspect())
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/QuotaWatch.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/QuotaMonitor.java
@@ -17,7 +17,7 @@
  * Logs when work of a customer starts and stops waiting for its quota, with one pair of events per
  * wait period regardless of the number of plans.
  */
-final class QuotaWatch
+final class QuotaMonitor
 {
     /** Minimum time without waiting work before a wait period ends. */
     private static final long MIN_QUIET_NANOS = TimeUnit.SECONDS.toNanos(1);
@@ -30,7 +30,7 @@
     private final EventLog events;
     private final Map<String, WaitPeriod> waitPeriods = new HashMap<>();
 
-    QuotaWatch(EventLog events)
+    QuotaMonitor(EventLog events)
     {
         this.events = events;
     }
@@ -41,7 +41,7 @@
      * @param atQuota the compute resources in use, by customer whose work waits for its quota
      * @param nowNanos the monotonic time, in nanoseconds
      */
-    void planned(Map<String, ComputeResources> atQuota, long nowNanos)
+    void onPlan(Map<String, ComputeResources> atQuota, long nowNanos)
     {
         atQuota.forEach((customer, running) -> recordWaiting(customer, running, nowNanos));
         Iterator<Map.Entry<String, WaitPeriod>> iterator = waitPeriods.entrySet().iterator();
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/RetiredJobs.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/RetiredJobs.java
@@ -15,7 +15,7 @@
 
 /**
  * Jobs that need no further work: those that have finished, and those that were cancelled before
- * their records were read. Guarded by the monitor of the cell state.
+ * their records were read. Guarded by the lock of the cell state.
  */
 final class RetiredJobs
 {
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/RunEndHandler.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/RunEndHandler.java
@@ -33,7 +33,7 @@
     /** Applies the end of a run. Ends of unknown runs are ignored. */
     void handle(TrackedWorker worker, EndedRun end, Effects effects)
     {
-        Task task = cellState.find(end.task());
+        Task task = cellState.findTask(end.task());
         if (task == null)
         {
             return;
@@ -50,7 +50,7 @@
             handleDuplicateEnd(task, worker, end, effects);
             return;
         }
-        effects.changed(job);
+        effects.markChanged(job);
         CellState.saveCheckpoint(task, end.checkpoint());
         if (end.how() == RunEnd.DONE && !task.step().spec().longRunning())
         {
@@ -64,7 +64,7 @@
                 handleFailure(task, worker, end.run(), effects);
             }
         }
-        CellState.finishIfAllDone(job, effects);
+        CellState.completeIfAllDone(job, effects);
     }
 
     /**
@@ -73,31 +73,31 @@
      */
     private void handleDuplicateEnd(Task task, TrackedWorker worker, EndedRun end, Effects effects)
     {
-        if (!task.mayHaveCopies() || task.phase() == Task.Phase.DONE)
+        if (!task.allowsDuplicateRuns() || task.phase() == Task.Phase.DONE)
         {
             return;
         }
-        boolean wasAbandoned = task.endCopy(end.run());
+        boolean wasAbandoned = task.endAbandonedRun(end.run());
         if (end.how() == RunEnd.DONE)
         {
-            effects.changed(task.step().job());
+            effects.markChanged(task.step().job());
             completeByDuplicate(task, effects);
         }
         else if (end.how() == RunEnd.FAILED && wasAbandoned)
         {
-            effects.changed(task.step().job());
+            effects.markChanged(task.step().job());
             handleFailure(task, worker, end.run(), effects);
         }
     }
 
     private static void completeByDuplicate(Task task, Effects effects)
     {
-        task.doneByCopy();
-        if (task.occupies() && task.phase() != Task.Phase.STOPPING)
+        task.completeByAbandonedRun();
+        if (task.isOnWorker() && task.phase() != Task.Phase.STOPPING)
         {
             effects.stop(task);
         }
-        CellState.finishIfAllDone(task.step().job(), effects);
+        CellState.completeIfAllDone(task.step().job(), effects);
     }
 
     private static void handleSuccess(Task task, TrackedWorker worker, long nowNanos)
@@ -105,17 +105,17 @@
         worker.health().recordSuccess();
         if (task.step().spec().gang())
         {
-            task.step().tasks().forEach(Task::done);
+            task.step().tasks().forEach(Task::complete);
             return;
         }
-        task.done(nowNanos);
+        task.complete(nowNanos);
     }
 
     private void handleFailure(Task task, TrackedWorker worker, int run, Effects effects)
     {
         Step step = task.step();
         Job job = step.job();
-        task.failedOn(worker);
+        task.recordFailureOn(worker);
         if (step.spec().longRunning())
         {
             worker.health().recordFailure(task.name(), nanoTime.getAsLong());
@@ -124,11 +124,11 @@
         worker.health().recordFailure(job.id(), nanoTime.getAsLong());
         if (step.spec().gang())
         {
-            step.gangFailed(run);
+            step.recordGangFailure(run);
         }
         else
         {
-            task.failed();
+            task.recordFailure();
         }
         int failures = step.spec().gang() ? step.tasks().getFirst().failures() : task.failures();
         if (failures >= job.queue().maxAttempts())
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Step.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Step.java
@@ -13,7 +13,7 @@
 import org.gaugehollow.worker.WorkerEntry;
 
 /**
- * A step in one repetition of a job in the owner's memory. Guarded by the lock of the cell state.
+ * A step in one repetition of a job in the cell state. Guarded by the lock of the cell state.
  */
 final class Step
 {
@@ -77,10 +77,10 @@
         return tasks.stream().filter(task -> task.phase() == Task.Phase.WAITING).toList();
     }
 
-    /** Returns whether no task of the step occupies a worker. */
+    /** Returns whether no task of the step is on a worker. */
     boolean isIdle()
     {
-        return tasks.stream().noneMatch(Task::occupies);
+        return tasks.stream().noneMatch(Task::isOnWorker);
     }
 
     /** Returns the number of tasks that must start together: all tasks of a gang, otherwise one. */
@@ -103,24 +103,24 @@
     }
 
     /** Stores one member's checkpoint for all members of the gang. */
-    void savedByGang(String checkpoint)
+    void saveGangCheckpoint(String checkpoint)
     {
-        tasks.forEach(task -> task.saved(checkpoint));
+        tasks.forEach(task -> task.saveCheckpoint(checkpoint));
     }
 
     /** Counts a failed run of the gang once, regardless of the number of members that report it. */
-    void gangFailed(int run)
+    void recordGangFailure(int run)
     {
         if (run > lastFailedGangRun)
         {
             lastFailedGangRun = run;
             gangFailures++;
-            tasks.getFirst().failed();
+            tasks.getFirst().recordFailure();
         }
     }
 
     /** Returns whether a worker has the label that the step requires, if any. */
-    boolean hasLabel(WorkerEntry entry)
+    boolean hasRequiredLabel(WorkerEntry entry)
     {
         String label = spec.requires();
         return label == null || label.isEmpty() || entry.labels().contains(label);
@@ -152,7 +152,7 @@
     {
         for (Task task : tasks)
         {
-            if (task.occupies() && task.phase() != Task.Phase.STOPPING)
+            if (task.isOnWorker() && task.phase() != Task.Phase.STOPPING)
             {
                 effects.stop(task);
             }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/StopCommands.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/StopCommands.java
@@ -95,7 +95,7 @@
         {
             synchronized (term.cellState())
             {
-                stop.task().settleStop(worker, stop.run(), SteadyClock.nanos());
+                stop.task().onStopAnswered(worker, stop.run(), SteadyClock.nanos());
             }
         }
     }
@@ -145,7 +145,7 @@
         Map<String, Integer> runs;
         synchronized (term.cellState())
         {
-            runs = term.cellState().slots().unansweredStarts().forEarlierIncarnations(worker,
+            runs = term.cellState().trackedWorkers().unansweredStarts().forEarlierIncarnations(worker,
                     SteadyClock.nanos());
         }
         runs.forEach((task, run) -> OwnerTerm.inBackground(task,
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/Task.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/Task.java
@@ -13,7 +13,7 @@
 import org.gaugehollow.job.JobProgress.TaskProgress;
 import org.gaugehollow.job.StepSpec;
 
-/** A task in the owner's memory. Guarded by the lock of the cell state. */
+/** A task of a step in the cell state. Guarded by the lock of the cell state. */
 final class Task
 {
     /** State of a task. */
@@ -79,7 +79,7 @@
         }
         else if (recordedWorker != null)
         {
-            order(recordedWorker, run, nowNanos);
+            assign(recordedWorker, run, nowNanos);
             mayHaveStarted = true;
             settledNanos = Long.MIN_VALUE;
         }
@@ -92,7 +92,7 @@
     }
 
     /** Assigns the task to a worker before its start is recorded and sent. */
-    void order(TrackedWorker target, int newRun, long nowNanos)
+    void assign(TrackedWorker target, int newRun, long nowNanos)
     {
         phase = Phase.ORDERED;
         run = newRun;
@@ -106,14 +106,14 @@
         target.addTask(this);
     }
 
-    /** Records that the start is being sent. */
-    void sent()
+    /** Marks the start as being sent. */
+    void markSent()
     {
         mayHaveStarted = true;
     }
 
-    /** Records that the worker runs the task. */
-    void begun(long nowNanos)
+    /** Marks the task as running, as reported by the worker. */
+    void markRunning(long nowNanos)
     {
         if (phase == Phase.ORDERED)
         {
@@ -125,8 +125,8 @@
     }
 
     /**
-     * Records when the last command took effect. A heartbeat sent later that does not list the run
-     * proves that the run is not on the worker.
+     * Records the time at which the last command took effect. A heartbeat sent later that does not list
+     * the run proves that the run is not on the worker.
      */
     void settle(long nowNanos)
     {
@@ -134,20 +134,20 @@
     }
 
     /**
-     * Handles the answer to a start: the worker runs the task. The answer does not settle a stop that
-     * was decided in the meantime, because that stop would then never be sent.
+     * Handles the reply to a start: the worker runs the task. The reply does not settle a stop that was
+     * decided in the meantime, because that stop would then never be sent.
      */
-    void startAnswered(long nowNanos)
+    void onStartAnswered(long nowNanos)
     {
-        begun(nowNanos);
+        markRunning(nowNanos);
         if (phase != Phase.STOPPING)
         {
             settle(nowNanos);
         }
     }
 
-    /** Handles the answer to a stop. Only the first answer for the current run counts. */
-    void settleStop(TrackedWorker commandedWorker, int stoppedRun, long nowNanos)
+    /** Handles the reply to a stop. Only the first reply for the current run counts. */
+    void onStopAnswered(TrackedWorker commandedWorker, int stoppedRun, long nowNanos)
     {
         if (phase == Phase.STOPPING && isAt(commandedWorker, stoppedRun) && settledNanos == UNSETTLED)
         {
@@ -156,7 +156,7 @@
     }
 
     /** Marks the task as stopping before the stop is sent. */
-    void stopping()
+    void markStopping()
     {
         phase = Phase.STOPPING;
         settledNanos = UNSETTLED;
@@ -170,7 +170,7 @@
     {
         if (doneByAbandonedRun)
         {
-            done();
+            complete();
             return;
         }
         leaveWorker();
@@ -180,7 +180,7 @@
     /**
      * Returns whether several runs of the task may exist at a time, of which the first success counts.
      */
-    boolean mayHaveCopies()
+    boolean allowsDuplicateRuns()
     {
         StepSpec spec = step.spec();
         return spec.speculative() && !spec.gang() && !spec.longRunning();
@@ -196,7 +196,7 @@
     }
 
     /** Removes an abandoned run that has ended; returns false if no abandoned run has that number. */
-    boolean endCopy(int number)
+    boolean endAbandonedRun(int number)
     {
         return abandonedRuns.contains(number) && abandonedRuns.remove(number);
     }
@@ -205,24 +205,24 @@
      * Completes the task by an abandoned run that ended successfully. A current run still has to be
      * stopped.
      */
-    void doneByCopy()
+    void completeByAbandonedRun()
     {
         doneByAbandonedRun = true;
-        if (!occupies())
+        if (!isOnWorker())
         {
-            done();
+            complete();
         }
     }
 
     /** Completes the task and records the duration of its run. */
-    void done(long nowNanos)
+    void complete(long nowNanos)
     {
         runMillis = TimeUnit.NANOSECONDS.toMillis(nowNanos - observation.startedNanos());
-        done();
+        complete();
     }
 
     /** Completes the task. */
-    void done()
+    void complete()
     {
         leaveWorker();
         phase = Phase.DONE;
@@ -246,13 +246,13 @@
     }
 
     /** Counts a failed run. */
-    void failed()
+    void recordFailure()
     {
         failures++;
     }
 
     /** Records the worker on which a run failed, so that the next run prefers another one. */
-    void failedOn(TrackedWorker failedWorker)
+    void recordFailureOn(TrackedWorker failedWorker)
     {
         failedWorkerId = failedWorker.id();
     }
@@ -263,13 +263,13 @@
     }
 
     /** Returns whether the latest start may have reached the worker. */
-    boolean mayHaveBegun()
+    boolean mayHaveStarted()
     {
         return mayHaveStarted;
     }
 
     /** Returns whether the worker is known to have started the latest run. */
-    boolean hasBegun()
+    boolean hasStarted()
     {
         return hasStarted;
     }
@@ -294,10 +294,11 @@
     /** Returns whether the task is a suspect whose run is still within its isolation period. */
     boolean isIsolated()
     {
-        return isSuspect() && occupies() && phase != Phase.STOPPING && seenMillis() < CrashGuard.TRIAL_MILLIS;
+        return isSuspect() && isOnWorker() && phase != Phase.STOPPING
+                && observedMillis() < CrashGuard.STARTUP_MILLIS;
     }
 
-    void saved(String newCheckpoint)
+    void saveCheckpoint(String newCheckpoint)
     {
         if (newCheckpoint != null && !newCheckpoint.isEmpty())
         {
@@ -316,8 +317,10 @@
         return speedLimitSetNanos;
     }
 
-    /** Returns whether the task occupies a worker. */
-    boolean occupies()
+    /**
+     * Returns whether the task is on a worker, that is, from its assignment until its run has ended.
+     */
+    boolean isOnWorker()
     {
         return worker != null;
     }
@@ -389,7 +392,7 @@
     }
 
     /** Returns the time for which heartbeats have shown the run, in milliseconds. */
-    long seenMillis()
+    long observedMillis()
     {
         return observation.observedMillis();
     }
@@ -398,7 +401,7 @@
      * Returns the time from the start of the run to the given monotonic time, in milliseconds; 0 if
      * that time is earlier.
      */
-    long millisUntil(long nanos)
+    long millisSinceStart(long nanos)
     {
         return observation.millisSinceStart(nanos);
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/TrackedWorker.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/TrackedWorker.java
@@ -15,8 +15,7 @@
 import org.gaugehollow.worker.WorkerIncarnation;
 
 /**
- * The state of one worker incarnation in the memory of the owner. Guarded by the lock of the cell
- * state.
+ * One worker incarnation in the cell state. Guarded by the lock of the cell state.
  */
 final class TrackedWorker
 {
@@ -59,12 +58,12 @@
      * @param leaseEndNanos monotonic time at which all its runs have ended
      * @param firstSeenNanos current monotonic time
      */
-    TrackedWorker(String id, long leaseEndNanos, long knownNanos)
+    TrackedWorker(String id, long leaseEndNanos, long firstSeenNanos)
     {
         this.id = id;
         this.incarnation = WorkerIncarnation.parse(id);
         this.leaseEndNanos = leaseEndNanos;
-        this.firstSeenNanos = knownNanos;
+        this.firstSeenNanos = firstSeenNanos;
     }
 
     void addTask(Task task)
@@ -155,7 +154,7 @@
     }
 
     /** Updates the clock of the worker from a reply. */
-    void readClock(long millis, long nowNanos)
+    void updateClock(long millis, long nowNanos)
     {
         if (millis > 0)
         {
@@ -206,7 +205,7 @@
     }
 
     /** Removes the entry of a worker that the platform no longer lists. */
-    void unlisted()
+    void clearEntry()
     {
         entry = null;
         updateFree();
@@ -295,7 +294,7 @@
     }
 
     /**
-     * Records a run that the owner does not know.
+     * Records an orphan run.
      *
      * @param step the step of the run, or null if its job is not known
      */
@@ -320,7 +319,10 @@
         return abandonedRuns;
     }
 
-    /** Returns whether the last heartbeat reported runs that the owner does not know. */
+    /**
+     * Returns whether the last heartbeat reported orphan runs, that is, runs that the cell state does
+     * not know.
+     */
     boolean hasOrphanRuns()
     {
         return hasOrphanRuns;
@@ -350,7 +352,7 @@
     }
 
     /** Returns the monotonic time at which this owner began to track the incarnation. */
-    long knownNanos()
+    long firstSeenNanos()
     {
         return firstSeenNanos;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/TrackedWorkers.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/TrackedWorkers.java
@@ -16,8 +16,7 @@
 import org.gaugehollow.worker.WorkerEntry;
 
 /**
- * The worker incarnations that the owner tracks, listed or not. Guarded by the lock of the cell
- * state.
+ * The worker incarnations in the cell state, listed or not. Guarded by the lock of the cell state.
  */
 final class TrackedWorkers
 {
@@ -88,7 +87,7 @@
      *
      * @return the incarnation that wrote the entry
      */
-    TrackedWorker list(WorkerEntry entry)
+    TrackedWorker update(WorkerEntry entry)
     {
         TrackedWorker worker = get(entry.incarnation().text());
         worker.setEntry(entry, nanoTime.getAsLong());
@@ -96,7 +95,7 @@
     }
 
     /** Removes an unlisted worker that has no tasks. */
-    void unlist(TrackedWorker worker)
+    void removeIfIdle(TrackedWorker worker)
     {
         if (worker.isIdle())
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/UnresponsiveRun.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/UnresponsiveRun.java
@@ -11,26 +11,26 @@
  *
  * @param task the task, which may have another run elsewhere
  * @param run the run number
- * @param hasBegun whether the worker is known to have started the run
+ * @param hasStarted whether the worker is known to have started the run
  * @param durationMillis run time in milliseconds until the connection to the worker was lost, or
  *            the observed run time if no connection was lost
  */
-record UnresponsiveRun(Task task, int run, boolean hasBegun, long durationMillis)
+record UnresponsiveRun(Task task, int run, boolean hasStarted, long durationMillis)
 {
     /** Creates a record of the newest run of a task on a worker. */
     static UnresponsiveRun of(Task task, TrackedWorker worker)
     {
         long elapsedMillis = worker.hasLostConnection()
-                ? task.millisUntil(worker.unresponsiveSinceNanos())
-                : task.seenMillis();
-        return new UnresponsiveRun(task, task.run(), task.hasBegun(),
-                Math.max(elapsedMillis, task.seenMillis()));
+                ? task.millisSinceStart(worker.unresponsiveSinceNanos())
+                : task.observedMillis();
+        return new UnresponsiveRun(task, task.run(), task.hasStarted(),
+                Math.max(elapsedMillis, task.observedMillis()));
     }
 
     /** Returns how far a crash of the worker is attributed to the task. */
     Attribution attribution()
     {
-        if (!hasBegun)
+        if (!hasStarted)
         {
             return Attribution.UNPROVEN;
         }
@@ -40,6 +40,6 @@
     /** Returns whether the run may have crashed its worker at its start. */
     boolean hadJustStarted()
     {
-        return durationMillis < CrashGuard.TRIAL_MILLIS;
+        return durationMillis < CrashGuard.STARTUP_MILLIS;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/UnresponsiveWorkerGuard.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/UnresponsiveWorkerGuard.java
@@ -64,7 +64,7 @@
     {
         for (Task task : worker.tasks())
         {
-            if (task.phase() == Task.Phase.RUNNING && task.mayHaveCopies()
+            if (task.phase() == Task.Phase.RUNNING && task.allowsDuplicateRuns()
                     && cellState.crashGuard().mayAbandonRun(task, worker))
             {
                 cellState.crashGuard().onRunAbandoned(task, worker);
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WeightRates.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WeightLimiter.java
@@ -21,7 +21,7 @@
  * long-running or have due times are never limited. Not thread-safe; guarded by the lock of the
  * cell state.
  */
-final class WeightRates
+final class WeightLimiter
 {
     private static final long WINDOW_MILLIS = 1_000;
     /**
@@ -34,7 +34,7 @@
     private final Map<String, TreeMap<Long, Integer>> acceptedWithinWeight = new HashMap<>();
 
     /** Classifies the jobs accepted since the last call as within or beyond their customer's weight. */
-    void rate(Collection<Job> accepted, Customers customers)
+    void classify(Collection<Job> accepted, Customers customers)
     {
         List<Job> earliestFirst = accepted.stream()
                 .sorted(Comparator.comparingLong(job -> job.record().acceptedMillis())).toList();
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerCommands.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerCommands.java
@@ -36,7 +36,7 @@
     }
 
     /** Returns the stop commands for the worker. */
-    StopCommands stops()
+    StopCommands stopCommands()
     {
         return stopCommands;
     }
@@ -77,7 +77,7 @@
     {
         synchronized (term.cellState())
         {
-            term.cellState().slots().unansweredStarts().add(worker, command.task(), command.run(),
+            term.cellState().trackedWorkers().unansweredStarts().add(worker, command.task(), command.run(),
                     SteadyClock.nanos());
         }
         term.events().record(EventType.ORDER_UNANSWERED, command.task(), "start on " + worker.id());
@@ -96,7 +96,7 @@
                 return null;
             }
             Task task = start.task();
-            task.sent();
+            task.markSent();
             long deadlineMillis = worker.extendDeadline(WorkerSession.LEASE_MILLIS, SteadyClock.nanos());
             return new StartCommand(task.name(), start.run(), task.step().job().record().job().spec(),
                     deadlineMillis, term.lease().fence(), start.checkpoint(), newestTicket(start));
@@ -229,14 +229,14 @@
         synchronized (term.cellState())
         {
             long nowNanos = SteadyClock.nanos();
-            worker.readClock(reply.clockMillis(), nowNanos);
+            worker.updateClock(reply.clockMillis(), nowNanos);
             if (!task.isAt(worker, start.run()))
             {
                 return;
             }
             if (result == CommandResult.DONE)
             {
-                task.startAnswered(nowNanos);
+                task.onStartAnswered(nowNanos);
                 return;
             }
             handleRefusal(task, result, nowNanos, effects);
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerLossCause.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerLossCause.java
@@ -11,7 +11,7 @@
     CRASHED("another incarnation answers at its address"),
     /** Another incarnation answers at the address, and the worker had announced that it leaves. */
     LEFT("another incarnation answers at its address after it announced that it leaves"),
-    /** The worker did not answer until its lease expired; it may still be alive. */
+    /** The worker did not answer until its lease expired; it may still be running. */
     LAPSED("its lease has expired");
 
     private final String description;
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerRating.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerRating.java
@@ -66,13 +66,13 @@
         int capacity = Math.max(1, worker.entry().capacity().cpuMillis());
         double used = (double) worker.used().cpuMillis() / capacity;
         boolean hasRecentStart = worker.tasks().stream()
-                .anyMatch(task -> task.seenMillis() < CrashGuard.TRIAL_MILLIS);
+                .anyMatch(task -> task.observedMillis() < CrashGuard.STARTUP_MILLIS);
         return used + (hasRecentStart ? 1 : 0);
     }
 
     private static boolean sharesRack(Step step, TrackedWorker worker)
     {
-        return step.tasks().stream().filter(Task::occupies).allMatch(other -> other.worker().entry() != null
+        return step.tasks().stream().filter(Task::isOnWorker).allMatch(other -> other.worker().entry() != null
                 && other.worker().entry().rack().equals(worker.entry().rack()));
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerSession.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerSession.java
@@ -57,7 +57,7 @@
     }
 
     /** Returns the commands for the worker. */
-    WorkerCommands orders()
+    WorkerCommands commands()
     {
         return commands;
     }
@@ -136,7 +136,7 @@
 
     /**
      * Creates the next heartbeat. It renews the lease only if the previous heartbeat was answered.
-     * Otherwise the end of the lease of a dead worker would never be known, since any unanswered
+     * Otherwise the end of the lease of a crashed worker would never be known, since any unanswered
      * heartbeat may have arrived.
      */
     private HeartbeatRequest createRequest(boolean hasPendingWrites)
@@ -173,7 +173,7 @@
         {
             hasAnswered = true;
             term.endOtherIncarnations(worker, sentNanos);
-            commands.stops().blockStartsForEarlierIncarnations();
+            commands.stopCommands().blockStartsForEarlierIncarnations();
         }
         boolean hasRecovered = !reachable;
         updateReachable(true, () -> "heartbeat result " + reply.result() + "; " + describeDifference(reply));
@@ -192,9 +192,9 @@
         {
             term.onWorkerRecovered();
         }
-        term.logEnds(worker, reply, lastReadEnd);
+        term.recordEnds(worker, reply, lastReadEnd);
         commands.adjustSpeedLimits();
-        commands.stops().sendPending();
+        commands.stopCommands().sendPending();
         CompletableFuture<Void> written = new CompletableFuture<>();
         term.apply(effects, () -> written.complete(null));
         pendingWrites = CompletableFuture.allOf(pendingWrites, written);
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerSessions.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WorkerSessions.java
@@ -130,12 +130,12 @@
         String incarnation = entry.incarnation().text();
         synchronized (term.cellState())
         {
-            boolean isKnown = term.cellState().worker(incarnation).isPresent();
+            boolean isKnown = term.cellState().findWorker(incarnation).isPresent();
             if (!isKnown && !config.get().mayHaveService(entry.service()))
             {
                 return false;
             }
-            trackedWorker = term.cellState().list(entry);
+            trackedWorker = term.cellState().updateWorker(entry);
         }
         if (!sessions.containsKey(incarnation))
         {
@@ -154,7 +154,7 @@
         {
             synchronized (term.cellState())
             {
-                term.cellState().worker(incarnation).ifPresent(TrackedWorker::unlisted);
+                term.cellState().findWorker(incarnation).ifPresent(TrackedWorker::clearEntry);
             }
         }
         refusalCount++;
@@ -184,16 +184,16 @@
         boolean isIdle;
         synchronized (term.cellState())
         {
-            trackedWorker = term.cellState().worker(incarnation).orElse(null);
+            trackedWorker = term.cellState().findWorker(incarnation).orElse(null);
             isIdle = trackedWorker != null && trackedWorker.isIdle();
             if (trackedWorker != null)
             {
-                trackedWorker.unlisted();
+                trackedWorker.clearEntry();
             }
         }
         if (isIdle)
         {
-            forget(trackedWorker);
+            closeSession(trackedWorker);
         }
     }
 
@@ -201,13 +201,13 @@
      * Handles the end of an incarnation. Its session is kept while the incarnation is listed, so that
      * the entry does not open another one.
      */
-    void over(TrackedWorker trackedWorker)
+    void onIncarnationEnded(TrackedWorker trackedWorker)
     {
         ReadEntry entry = readEntries.get(trackedWorker.workerId());
         boolean isListed = entry != null && trackedWorker.id().equals(entry.incarnation());
         if (!isListed)
         {
-            forget(trackedWorker);
+            closeSession(trackedWorker);
         }
     }
 
@@ -221,11 +221,11 @@
      * Closes the session with a worker that has no tasks. An entry that is still listed opens another
      * one.
      */
-    void forget(TrackedWorker trackedWorker)
+    void closeSession(TrackedWorker trackedWorker)
     {
         synchronized (term.cellState())
         {
-            term.cellState().slots().unlist(trackedWorker);
+            term.cellState().trackedWorkers().removeIfIdle(trackedWorker);
         }
         WorkerSession session = sessions.remove(trackedWorker.id());
         if (session != null)
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/AdviceCacheTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/AdviceCacheTest.java
@@ -50,15 +50,15 @@
         });
         synchronized (cellState)
         {
-            cellState.list(TestJobs.worker("w1", 16_000)).setLeaseHeld(true);
+            cellState.updateWorker(TestJobs.worker("w1", 16_000)).setLeaseHeld(true);
             JobSpec spec = new JobSpec("text", List.of(TestJobs.step(1, 1_000, List.of())), 0, 0, 0);
             cellState.accept(new JobRecord(TestJobs.ID, TestJobs.ADVISED_QUEUE, spec, 0), 1, null, 0);
-            cache.request(cellState.find(TestJobs.ID + ".0.0.0").step());
+            cache.request(cellState.findTask(TestJobs.ID + ".0.0.0").step());
         }
-        assertThat(TestJobs.within(2_000, () -> calls.get() == 1)).isTrue();
+        assertThat(TestJobs.waitUntil(2_000, () -> calls.get() == 1)).isTrue();
         cache.close();
         termEnded.countDown();
-        assertThat(TestJobs.within(RETRY_PERIOD_MILLIS, () -> calls.get() > 1)).isFalse();
+        assertThat(TestJobs.waitUntil(RETRY_PERIOD_MILLIS, () -> calls.get() > 1)).isFalse();
     }
 
     private static WorkerEntry entryOf(long startTime)
@@ -70,11 +70,11 @@
     @Test
     void adviceDoesNotApplyToTheNextIncarnation() throws InterruptedException
     {
-        List<List<String>> askedWorkers = new CopyOnWriteArrayList<>();
+        List<List<String>> queriedWorkers = new CopyOnWriteArrayList<>();
         AtomicReference<List<Advice.Ticket>> tickets = new AtomicReference<>(List.of());
         AdviceDispatcher dispatcher = new AdviceDispatcher((step, workers, timeout) ->
         {
-            askedWorkers.add(workers);
+            queriedWorkers.add(workers);
             return new Advice(tickets.get(), 500);
         }, events);
         AtomicInteger replies = new AtomicInteger();
@@ -83,27 +83,27 @@
         TrackedWorker first;
         synchronized (cellState)
         {
-            first = cellState.list(entryOf(1));
+            first = cellState.updateWorker(entryOf(1));
             first.setLeaseHeld(true);
             JobSpec spec = new JobSpec("text", List.of(TestJobs.step(1, 1_000, List.of())), 0, 0, 0);
             cellState.accept(new JobRecord(TestJobs.ID, TestJobs.ADVISED_QUEUE, spec, 0), 1, null, 0);
-            step = cellState.find(TestJobs.ID + ".0.0.0").step();
+            step = cellState.findTask(TestJobs.ID + ".0.0.0").step();
             cache.request(step);
         }
-        assertThat(TestJobs.within(2_000, () -> replies.get() == 1)).isTrue();
+        assertThat(TestJobs.waitUntil(2_000, () -> replies.get() == 1)).isTrue();
         tickets.set(List.of(new Advice.Ticket("w1", "ticket")));
         TrackedWorker second;
         synchronized (cellState)
         {
             assertThat(cache.isDenied(step, first)).isTrue();
-            first.unlisted();
-            second = cellState.list(entryOf(2));
+            first.clearEntry();
+            second = cellState.updateWorker(entryOf(2));
             second.setLeaseHeld(true);
             assertThat(cache.isDenied(step, second)).isFalse();
             cache.request(step);
         }
-        assertThat(TestJobs.within(2_000, () -> replies.get() == 2)).isTrue();
-        assertThat(askedWorkers).isEqualTo(List.of(List.of("w1"), List.of("w1")));
+        assertThat(TestJobs.waitUntil(2_000, () -> replies.get() == 2)).isTrue();
+        assertThat(queriedWorkers).isEqualTo(List.of(List.of("w1"), List.of("w1")));
         synchronized (cellState)
         {
             assertThat(cache.ticket(step, second)).hasValue("ticket");
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/AdviceCandidatesTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/AdviceCandidatesTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Guards against advice calls that are too large or that ask about workers without free capacity.
+ * Guards against advice calls that are too large or that include workers without free capacity.
  */
 class AdviceCandidatesTest
 {
@@ -30,7 +30,7 @@
     {
         for (int i = 0; i < WORKERS; i++)
         {
-            cellState.list(TestJobs.worker("w" + i, i < WORKERS - free ? CPU - 1 : 3 * CPU))
+            cellState.updateWorker(TestJobs.worker("w" + i, i < WORKERS - free ? CPU - 1 : 3 * CPU))
                     .recordHeartbeat(0);
         }
     }
@@ -43,7 +43,7 @@
     private Step step(String id, StepSpec spec)
     {
         cellState.accept(TestJobs.job(id, spec), 1, null, 0);
-        return cellState.find(id + ".0.0.0").step();
+        return cellState.findTask(id + ".0.0.0").step();
     }
 
     private List<String> choose(Step step, Set<String> allowedWorkers)
@@ -61,20 +61,20 @@
     void workersWithCapacityComeFirstAndCallSizeIsLimited()
     {
         list(WORKERS_WITH_CAPACITY);
-        List<String> asked = choose(step("00000000000000a1", 10), Set.of());
+        List<String> chosen = choose(step("00000000000000a1", 10), Set.of());
         assertThat(
-                asked.subList(0, WORKERS_WITH_CAPACITY).stream().allMatch(AdviceCandidatesTest::hasCapacity))
+                chosen.subList(0, WORKERS_WITH_CAPACITY).stream().allMatch(AdviceCandidatesTest::hasCapacity))
                 .isTrue();
-        assertThat(asked).hasSize(TYPICAL_CALL_SIZE);
+        assertThat(chosen).hasSize(TYPICAL_CALL_SIZE);
     }
 
     @Test
     void candidateCountGrowsWithWaitingTasks()
     {
         list(WORKERS);
-        int asked = choose(step("00000000000000a1", 100), Set.of()).size();
-        assertThat(asked).isGreaterThan(TYPICAL_CALL_SIZE);
-        assertThat(asked).isAtMost(100);
+        int chosen = choose(step("00000000000000a1", 100), Set.of()).size();
+        assertThat(chosen).isGreaterThan(TYPICAL_CALL_SIZE);
+        assertThat(chosen).isAtMost(100);
     }
 
     @Test
@@ -92,9 +92,9 @@
         List<String> chosen = new ArrayList<>();
         for (int i = 1; i <= 4; i++)
         {
-            List<String> asked = choose(step(String.format("%016x", i), 4), Set.of());
-            distinct.addAll(asked);
-            chosen.addAll(asked);
+            List<String> candidates = choose(step(String.format("%016x", i), 4), Set.of());
+            distinct.addAll(candidates);
+            chosen.addAll(candidates);
         }
         assertThat(chosen).hasSize(4 * TYPICAL_CALL_SIZE);
         assertThat(distinct.size()).isGreaterThan(2 * TYPICAL_CALL_SIZE);
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/CancelledRunsTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/CancelledRunsTest.java
@@ -106,20 +106,21 @@
 
     private static void awaitStarted(FakeWorker worker, int run) throws InterruptedException
     {
-        boolean isStarted = TestJobs.within(TIMEOUT_MILLIS, () -> worker.begun().contains(TASK + '/' + run));
-        assertWithMessage("started runs " + worker.begun()).that(isStarted).isTrue();
+        boolean isStarted = TestJobs.waitUntil(TIMEOUT_MILLIS,
+                () -> worker.startedRuns().contains(TASK + '/' + run));
+        assertWithMessage("started runs " + worker.startedRuns()).that(isStarted).isTrue();
     }
 
     /** Waits until the next heartbeat is sent to the worker. */
     private static void awaitNextHeartbeat(FakeWorker worker) throws InterruptedException
     {
-        int heartbeats = worker.looks();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.looks() > heartbeats)).isTrue();
+        int heartbeats = worker.heartbeatCount();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.heartbeatCount() > heartbeats)).isTrue();
     }
 
     private void assertRunEnds(FakeWorker worker, long millis) throws InterruptedException
     {
-        assertThat(TestJobs.within(millis, () -> !worker.isRunning(TASK))).isTrue();
+        assertThat(TestJobs.waitUntil(millis, () -> !worker.isRunning(TASK))).isTrue();
     }
 
     /** The job is cancelled while its start is unanswered, and the stop arrives before the start. */
@@ -130,11 +131,11 @@
         startTerm("box");
         worker.loseStarts(100);
         accept();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.startsAsked() > 0)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.startCount() > 0)).isTrue();
         cancel();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.stopped().contains(TASK))).isTrue();
-        assertThat(worker.arriveLate()).isEqualTo(CommandResult.OLD_RUN);
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.stoppedTasks().contains(TASK))).isTrue();
+        assertThat(worker.deliverLostStart()).isEqualTo(CommandResult.OLD_RUN);
         assertThat(worker.isRunning(TASK)).isFalse();
     }
 
@@ -147,10 +148,10 @@
         worker.loseStarts(100);
         worker.loseStops(10);
         accept();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.startsAsked() > 0)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.startCount() > 0)).isTrue();
         cancel();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
-        assertThat(worker.arriveLate()).isEqualTo(CommandResult.DONE);
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
+        assertThat(worker.deliverLostStart()).isEqualTo(CommandResult.DONE);
         assertRunEnds(worker, LATE_START_MILLIS);
     }
 
@@ -167,13 +168,13 @@
         worker.loseStarts(100);
         worker.loseStops(Integer.MAX_VALUE);
         accept();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.startsAsked() > 0)).isTrue();
-        worker.setSilent(true);
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.startCount() > 0)).isTrue();
+        worker.setUnresponsive(true);
         cancel();
-        assertThat(TestJobs.within(LEASE_EXPIRY_MILLIS, () -> !isTaskTracked())).isTrue();
-        worker.setSilent(false);
+        assertThat(TestJobs.waitUntil(LEASE_EXPIRY_MILLIS, () -> !isTaskTracked())).isTrue();
+        worker.setUnresponsive(false);
         worker.loseStops(0);
-        assertThat(worker.arriveLate()).isEqualTo(CommandResult.DONE);
+        assertThat(worker.deliverLostStart()).isEqualTo(CommandResult.DONE);
         assertRunEnds(worker, LATE_START_MILLIS);
     }
 
@@ -181,7 +182,7 @@
     {
         synchronized (term.term().cellState())
         {
-            return term.term().cellState().find(TASK) != null;
+            return term.term().cellState().findTask(TASK) != null;
         }
     }
 
@@ -195,7 +196,7 @@
         awaitNextHeartbeat(worker);
         awaitNextHeartbeat(worker);
         worker.loseStops(3);
-        worker.runs(TASK, 1);
+        worker.addRun(TASK, 1);
         assertRunEnds(worker, LATE_START_MILLIS);
     }
 
@@ -208,8 +209,8 @@
         startTerm("box");
         awaitNextHeartbeat(worker);
         platform.unlist("w1");
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> !isListed("w1"))).isTrue();
-        worker.runs(TASK, 1);
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> !isListed("w1"))).isTrue();
+        worker.addRun(TASK, 1);
         platform.list("w1");
         assertRunEnds(worker, LATE_START_MILLIS);
     }
@@ -218,7 +219,7 @@
     {
         synchronized (term.term().cellState())
         {
-            return term.term().cellState().worker(worker).isPresent();
+            return term.term().cellState().findWorker(worker).isPresent();
         }
     }
 
@@ -233,7 +234,7 @@
         replaceOwner();
         cancel();
         assertRunEnds(worker, LATE_START_MILLIS);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
     }
 
     /** The job is cancelled while the cell has no owner. */
@@ -248,7 +249,7 @@
         cancel();
         startTerm("successor");
         assertRunEnds(worker, LATE_START_MILLIS);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
     }
 
     /** The previous owner recorded the cancellation but ended before it sent the stop. */
@@ -259,7 +260,7 @@
         acceptAsTombstone();
         cancel();
         record(new JobProgress(TestJobs.QUEUE.name(), JobState.CANCELLED, null));
-        worker.runs(TASK, 1);
+        worker.addRun(TASK, 1);
         startTerm("successor");
         assertRunEnds(worker, LATE_START_MILLIS);
     }
@@ -272,9 +273,9 @@
         recordRunningOn("w1", 1);
         cancel();
         startTerm("successor");
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
         FakeWorker worker = platform.addWorker("w1");
-        worker.runs(TASK, 1);
+        worker.addRun(TASK, 1);
         assertRunEnds(worker, LATE_START_MILLIS);
     }
 
@@ -287,13 +288,13 @@
         worker.loseStarts(100);
         worker.loseStops(Integer.MAX_VALUE);
         accept();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.startsAsked() >= START_ATTEMPTS)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.startCount() >= START_ATTEMPTS)).isTrue();
         worker.loseStarts(0);
         replaceOwner();
         awaitStarted(worker, 2);
         worker.loseStops(0);
         cancel();
-        assertThat(worker.arriveLate()).isEqualTo(CommandResult.FENCED);
+        assertThat(worker.deliverLostStart()).isEqualTo(CommandResult.FENCED);
         assertRunEnds(worker, LATE_START_MILLIS);
     }
 
@@ -307,13 +308,13 @@
         FakeWorker worker = platform.addWorker("w1");
         accept();
         recordRunningOn(null, 1);
-        worker.runs(TASK, 1);
+        worker.addRun(TASK, 1);
         worker.delayStartReplies(true);
         worker.delayStopReplies(true);
         startTerm("box");
         awaitStarted(worker, 2);
         cancel();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
         worker.delayStartReplies(false);
         Thread.sleep(REPLY_MILLIS);
         worker.delayStopReplies(false);
@@ -334,8 +335,8 @@
         accept();
         cancel();
         term.term().onJobWritten(TestJobs.ID);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
-        assertThat(worker.startsAsked()).isEqualTo(0);
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
+        assertThat(worker.startCount()).isEqualTo(0);
     }
 
     /** The record of the job is written after its cancellation. */
@@ -347,8 +348,8 @@
         startTerm("box");
         awaitNextHeartbeat(worker);
         accept();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
-        assertThat(worker.startsAsked()).isEqualTo(0);
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
+        assertThat(worker.startCount()).isEqualTo(0);
     }
 
     /** The watch delivers no events, and a peer reports the cancellation. */
@@ -358,11 +359,11 @@
         FakeWorker worker = platform.addWorker("w1");
         startTerm("box");
         accept();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.isRunning(TASK))).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.isRunning(TASK))).isTrue();
         platform.fakeStore().silenceWatches(true);
         cancel();
         term.term().onJobCancelled(TestJobs.ID);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> !worker.isRunning(TASK))).isTrue();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> !worker.isRunning(TASK))).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, this::isRecordedAsCancelled)).isTrue();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/CapacityChangeTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/CapacityChangeTest.java
@@ -85,7 +85,7 @@
         CellState cellState = term.term().cellState();
         synchronized (cellState)
         {
-            return cellState.worker("w1").map(tracked -> tracked.entry().capacity().cpuMillis()).orElse(0)
+            return cellState.findWorker("w1").map(tracked -> tracked.entry().capacity().cpuMillis()).orElse(0)
                     / MILLIS_PER_CPU;
         }
     }
@@ -97,29 +97,29 @@
         accept();
         store.commitRequested.await();
         platform.resize("w1", SHRUNK_CPUS);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> capacityCpus() == SHRUNK_CPUS)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> capacityCpus() == SHRUNK_CPUS)).isTrue();
         store.released.countDown();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.begun().size() > 0)).isTrue();
-        assertThat(TestJobs.within(ROSTER_READ_MILLIS, () -> worker.begun().size() > 2)).isFalse();
-        assertThat(worker.begun()).hasSize(2);
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.startedRuns().size() > 0)).isTrue();
+        assertThat(TestJobs.waitUntil(ROSTER_READ_MILLIS, () -> worker.startedRuns().size() > 2)).isFalse();
+        assertThat(worker.startedRuns()).hasSize(2);
     }
 
     @Test
     void runningTasksContinueAndNewOnesWaitUntilTheyFit() throws InterruptedException
     {
         accept();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.begun().size() == TASKS)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.startedRuns().size() == TASKS)).isTrue();
         platform.resize("w1", SHRUNK_CPUS);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> capacityCpus() == SHRUNK_CPUS)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> capacityCpus() == SHRUNK_CPUS)).isTrue();
         platform.store().commit(new StoreTransaction().put(JobKeys.job("00000000000000bb"), JobCodec
                 .writeRecord(TestJobs.job("00000000000000bb", TestJobs.step(1, TASK_CPU, List.of())))));
-        worker.end(TestJobs.ID + ".0.0.0", RunEnd.DONE);
-        worker.end(TestJobs.ID + ".0.0.1", RunEnd.DONE);
-        assertThat(TestJobs.within(ROSTER_READ_MILLIS, () -> worker.isRunning("00000000000000bb.0.0.0")))
+        worker.endRun(TestJobs.ID + ".0.0.0", RunEnd.DONE);
+        worker.endRun(TestJobs.ID + ".0.0.1", RunEnd.DONE);
+        assertThat(TestJobs.waitUntil(ROSTER_READ_MILLIS, () -> worker.isRunning("00000000000000bb.0.0.0")))
                 .isFalse();
-        assertThat(worker.stopped()).isEmpty();
-        worker.end(TestJobs.ID + ".0.0.2", RunEnd.DONE);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.isRunning("00000000000000bb.0.0.0")))
+        assertThat(worker.stoppedTasks()).isEmpty();
+        worker.endRun(TestJobs.ID + ".0.0.2", RunEnd.DONE);
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.isRunning("00000000000000bb.0.0.0")))
                 .isTrue();
     }
 
@@ -127,10 +127,11 @@
     void increasedCapacityIsUsed() throws InterruptedException
     {
         platform.resize("w1", SHRUNK_CPUS);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> capacityCpus() == SHRUNK_CPUS)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> capacityCpus() == SHRUNK_CPUS)).isTrue();
         accept();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.begun().size() == 2)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.startedRuns().size() == 2)).isTrue();
         platform.resize("w1", FULL_CPUS);
-        assertThat(TestJobs.within(ROSTER_READ_MILLIS, () -> worker.begun().size() == TASKS)).isTrue();
+        assertThat(TestJobs.waitUntil(ROSTER_READ_MILLIS, () -> worker.startedRuns().size() == TASKS))
+                .isTrue();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/CapacityPropertyTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/CapacityPropertyTest.java
@@ -53,7 +53,7 @@
 
     private void resize(int units)
     {
-        worker = cellState.list(TestJobs.worker("w1", units * CPU_PER_UNIT));
+        worker = cellState.updateWorker(TestJobs.worker("w1", units * CPU_PER_UNIT));
         worker.recordHeartbeat(clock.get());
     }
 
@@ -84,19 +84,20 @@
             endCount++;
             RunEnd end = task.phase() == Task.Phase.STOPPING ? RunEnd.STOPPED : RunEnd.DONE;
             cellState.applyHeartbeat(worker,
-                    TestJobs.answer(runningRuns(), List.of(TestJobs.ended(endCount, task, end))),
+                    TestJobs.heartbeatReply(runningRuns(), List.of(TestJobs.endedRun(endCount, task, end))),
                     endCount - 1, clock.get());
         }
     }
 
     private void heartbeat()
     {
-        cellState.applyHeartbeat(worker, TestJobs.answer(runningRuns(), List.of()), endCount, clock.get());
+        cellState.applyHeartbeat(worker, TestJobs.heartbeatReply(runningRuns(), List.of()), endCount,
+                clock.get());
     }
 
     private List<RunningRun> runningRuns()
     {
-        return running.stream().map(TestJobs::running).toList();
+        return running.stream().map(TestJobs::runningRun).toList();
     }
 
     private void plan()
@@ -104,8 +105,8 @@
         List<Planner.Start> starts = planner.plan(clock.get(), 0).starts();
         for (Planner.Start start : starts)
         {
-            start.task().sent();
-            start.task().startAnswered(clock.get());
+            start.task().markSent();
+            start.task().onStartAnswered(clock.get());
             running.add(start.task());
         }
         if (!starts.isEmpty())
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/CellStateTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/CellStateTest.java
@@ -34,8 +34,8 @@
     @BeforeEach
     void listWorkers()
     {
-        first = cellState.list(TestJobs.worker("w1", 4_000));
-        second = cellState.list(TestJobs.worker("w2", 4_000));
+        first = cellState.updateWorker(TestJobs.worker("w1", 4_000));
+        second = cellState.updateWorker(TestJobs.worker("w2", 4_000));
         first.setLeaseHeld(true);
         second.setLeaseHeld(true);
     }
@@ -52,7 +52,7 @@
 
     private void markStarted(Planner.Start start)
     {
-        start.task().begun(clock.get());
+        start.task().markRunning(clock.get());
         start.task().settle(clock.get());
     }
 
@@ -89,8 +89,9 @@
     private Effects endRun(Planner.Start start, long number, RunEnd runEnd)
     {
         Task task = taskOf(start);
-        HeartbeatReply reply = TestJobs.answer(List.of(), List.of(TestJobs.ended(number, task, runEnd)));
-        return cellState.applyHeartbeat(start.slot(), reply, number - 1, advanceClock());
+        HeartbeatReply reply = TestJobs.heartbeatReply(List.of(),
+                List.of(TestJobs.endedRun(number, task, runEnd)));
+        return cellState.applyHeartbeat(start.worker(), reply, number - 1, advanceClock());
     }
 
     @Test
@@ -100,7 +101,7 @@
         Planner.Start start = plan().getFirst();
         markStarted(start);
         Effects effects = endRun(start, 1, RunEnd.DONE);
-        Job job = effects.changed().iterator().next();
+        Job job = effects.changedJobs().iterator().next();
         assertThat(job.state()).isEqualTo(JobState.COMPLETED);
         assertThat(job.progress().rounds()).isNull();
     }
@@ -112,12 +113,12 @@
         Planner.Start firstStart = plan().getFirst();
         markStarted(firstStart);
         Effects effects = endRun(firstStart, 1, RunEnd.FAILED);
-        Job job = effects.changed().iterator().next();
+        Job job = effects.changedJobs().iterator().next();
         assertThat(job.state()).isEqualTo(JobState.RUNNING);
         Planner.Start secondStart = plan().getFirst();
         assertThat(secondStart.run()).isEqualTo(2);
         markStarted(secondStart);
-        endRun(secondStart, secondStart.slot() == firstStart.slot() ? 2 : 1, RunEnd.FAILED);
+        endRun(secondStart, secondStart.worker() == firstStart.worker() ? 2 : 1, RunEnd.FAILED);
         assertThat(job.state()).isEqualTo(JobState.FAILED);
         assertThat(plan()).isEmpty();
     }
@@ -129,9 +130,10 @@
         Planner.Start start = plan().getFirst();
         markStarted(start);
         Task task = taskOf(start);
-        HeartbeatReply reply = TestJobs.answer(List.of(), List.of(TestJobs.ended(1, task, RunEnd.FAILED)));
-        cellState.applyHeartbeat(start.slot(), reply, 0, advanceClock());
-        cellState.applyHeartbeat(start.slot(), reply, 0, advanceClock());
+        HeartbeatReply reply = TestJobs.heartbeatReply(List.of(),
+                List.of(TestJobs.endedRun(1, task, RunEnd.FAILED)));
+        cellState.applyHeartbeat(start.worker(), reply, 0, advanceClock());
+        cellState.applyHeartbeat(start.worker(), reply, 0, advanceClock());
         assertThat(task.failures()).isEqualTo(1);
     }
 
@@ -142,19 +144,20 @@
         Planner.Start start = plan().getFirst();
         markStarted(start);
         Job job = taskOf(start).step().job();
-        HeartbeatReply reply = TestJobs.answer(List.of(),
-                List.of(TestJobs.ended(1, taskOf(start), RunEnd.DONE)));
+        HeartbeatReply reply = TestJobs.heartbeatReply(List.of(),
+                List.of(TestJobs.endedRun(1, taskOf(start), RunEnd.DONE)));
         job.beginWrite();
-        assertThat(cellState.applyHeartbeat(start.slot(), reply, 0, advanceClock()).changed())
+        assertThat(cellState.applyHeartbeat(start.worker(), reply, 0, advanceClock()).changedJobs())
                 .containsExactly(job);
         job.endWrite();
-        assertThat(cellState.applyHeartbeat(start.slot(), reply, 0, advanceClock()).changed())
+        assertThat(cellState.applyHeartbeat(start.worker(), reply, 0, advanceClock()).changedJobs())
                 .containsExactly(job);
         job.beginWrite();
-        assertThat(cellState.applyHeartbeat(start.slot(), reply, 0, advanceClock()).changed())
+        assertThat(cellState.applyHeartbeat(start.worker(), reply, 0, advanceClock()).changedJobs())
                 .containsExactly(job);
         job.endWrite();
-        assertThat(cellState.applyHeartbeat(start.slot(), reply, 0, advanceClock()).changed()).isEmpty();
+        assertThat(cellState.applyHeartbeat(start.worker(), reply, 0, advanceClock()).changedJobs())
+                .isEmpty();
     }
 
     @Test
@@ -162,8 +165,9 @@
     {
         cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
         Planner.Start start = plan().getFirst();
-        cellState.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, advanceClock());
-        assertThat(taskOf(start).occupies()).isTrue();
+        cellState.applyHeartbeat(start.worker(), TestJobs.heartbeatReply(List.of(), List.of()), 0,
+                advanceClock());
+        assertThat(taskOf(start).isOnWorker()).isTrue();
         assertThat(plan()).isEmpty();
     }
 
@@ -172,13 +176,14 @@
     {
         cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
         Planner.Start start = plan().getFirst();
-        taskOf(start).stopping();
+        taskOf(start).markStopping();
         taskOf(start).settle(clock.get());
         long sentNanos = clock.get() - 1;
-        cellState.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, sentNanos);
-        assertThat(taskOf(start).occupies()).isTrue();
-        cellState.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, advanceClock());
-        assertThat(taskOf(start).occupies()).isFalse();
+        cellState.applyHeartbeat(start.worker(), TestJobs.heartbeatReply(List.of(), List.of()), 0, sentNanos);
+        assertThat(taskOf(start).isOnWorker()).isTrue();
+        cellState.applyHeartbeat(start.worker(), TestJobs.heartbeatReply(List.of(), List.of()), 0,
+                advanceClock());
+        assertThat(taskOf(start).isOnWorker()).isFalse();
         assertThat(plan().getFirst().run()).isEqualTo(2);
     }
 
@@ -188,12 +193,12 @@
         cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
         Planner.Start start = plan().getFirst();
         Task task = taskOf(start);
-        task.stopping();
-        task.settleStop(start.slot(), 1, clock.get());
+        task.markStopping();
+        task.onStopAnswered(start.worker(), 1, clock.get());
         long sent = advanceClock();
-        task.settleStop(start.slot(), 1, advanceClock());
-        cellState.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, sent);
-        assertThat(task.occupies()).isFalse();
+        task.onStopAnswered(start.worker(), 1, advanceClock());
+        cellState.applyHeartbeat(start.worker(), TestJobs.heartbeatReply(List.of(), List.of()), 0, sent);
+        assertThat(task.isOnWorker()).isFalse();
     }
 
     @Test
@@ -202,21 +207,22 @@
         cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 500, List.of())), 1, null, 0);
         Planner.Start start = plan().getFirst();
         Task task = taskOf(start);
-        task.stopping();
-        task.settleStop(start.slot(), 1, clock.get());
+        task.markStopping();
+        task.onStopAnswered(start.worker(), 1, clock.get());
         assertThat(task.settledNanos()).isEqualTo(clock.get());
         task.release();
-        task.order(start.slot(), 2, clock.get());
-        task.settleStop(start.slot(), 1, clock.get());
+        task.assign(start.worker(), 2, clock.get());
+        task.onStopAnswered(start.worker(), 1, clock.get());
         assertThat(task.settledNanos()).isEqualTo(Task.UNSETTLED);
-        cellState.applyHeartbeat(start.slot(), TestJobs.answer(List.of(), List.of()), 0, advanceClock());
-        assertThat(task.occupies()).isTrue();
+        cellState.applyHeartbeat(start.worker(), TestJobs.heartbeatReply(List.of(), List.of()), 0,
+                advanceClock());
+        assertThat(task.isOnWorker()).isTrue();
     }
 
     @Test
     void orphanRunsAreStopped()
     {
-        HeartbeatReply reply = TestJobs.answer(
+        HeartbeatReply reply = TestJobs.heartbeatReply(
                 List.of(new HeartbeatReply.RunningRun("00000000000000bb.0.0.0", 3, "", 5, 0)), List.of());
         Effects effects = cellState.applyHeartbeat(first, reply, 0, advanceClock());
         assertThat(effects.stops()).hasSize(1);
@@ -232,13 +238,13 @@
         JobProgress written = starts.getFirst().task().step().job().progress();
 
         CellState nextState = new CellState(clock::get, UNKNOWN_LEASE);
-        TrackedWorker worker = nextState.list(TestJobs.worker("w1", 4_000));
+        TrackedWorker worker = nextState.updateWorker(TestJobs.worker("w1", 4_000));
         nextState.accept(record, 1, written, 0);
         Planner nextPlanner = new Planner(nextState, new NoTickets(), new WaitingFirstScore(0.5));
         worker.setLeaseHeld(true);
         assertThat(nextPlanner.plan(clock.get(), 0).starts()).isEmpty();
 
-        nextState.applyHeartbeat(worker, TestJobs.answer(List.of(), List.of()), 0, advanceClock());
+        nextState.applyHeartbeat(worker, TestJobs.heartbeatReply(List.of(), List.of()), 0, advanceClock());
         List<Planner.Start> nextStarts = nextPlanner.plan(clock.get(), 0).starts();
         assertThat(nextStarts).hasSize(1);
         assertThat(nextStarts.getFirst().run()).isEqualTo(2);
@@ -253,9 +259,9 @@
         CellState nextState = new CellState(clock::get, UNKNOWN_LEASE);
         nextState.accept(record, 1, written, 0);
         clock.addAndGet(UNKNOWN_LEASE - 1);
-        assertThat(nextState.slots().withExpiredLease()).isEmpty();
+        assertThat(nextState.trackedWorkers().withExpiredLease()).isEmpty();
         clock.addAndGet(2);
-        assertThat(nextState.slots().withExpiredLease()).hasSize(1);
+        assertThat(nextState.trackedWorkers().withExpiredLease()).hasSize(1);
     }
 
     @Test
@@ -275,9 +281,9 @@
         cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.gang(2, 1_000)), 1, null, 0);
         List<Planner.Start> starts = plan();
         starts.forEach(this::markStarted);
-        cellState.onWorkerLost(starts.get(0).slot(), WorkerLossCause.LAPSED);
+        cellState.onWorkerLost(starts.get(0).worker(), WorkerLossCause.LAPSED);
         assertThat(plan()).isEmpty();
-        cellState.onWorkerLost(starts.get(1).slot(), WorkerLossCause.LAPSED);
+        cellState.onWorkerLost(starts.get(1).worker(), WorkerLossCause.LAPSED);
         first.setLeaseHeld(true);
         second.setLeaseHeld(true);
         List<Planner.Start> nextStarts = plan();
@@ -308,7 +314,7 @@
         cellState.cancel(TestJobs.ID, new Cancellation(TestJobs.QUEUE.name()));
         Effects effects = new Effects();
         CellState.release(task, effects);
-        assertThat(effects.changed()).containsExactly(task.step().job());
+        assertThat(effects.changedJobs()).containsExactly(task.step().job());
     }
 
     @Test
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/CrashGuardTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/CrashGuardTest.java
@@ -50,14 +50,14 @@
     private Task accept()
     {
         cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.step(1, 1_000, List.of())), 1, null, 0);
-        return cellState.find(TASK);
+        return cellState.findTask(TASK);
     }
 
     /** Lists a new incarnation of the only worker. */
     private TrackedWorker listIncarnation()
     {
         incarnationCount++;
-        TrackedWorker worker = cellState.list(TestJobs.worker("w" + incarnationCount, WORKER_CPU));
+        TrackedWorker worker = cellState.updateWorker(TestJobs.worker("w" + incarnationCount, WORKER_CPU));
         worker.recordHeartbeat(clock.get());
         return worker;
     }
@@ -66,21 +66,21 @@
     {
         for (Planner.Start start : planner.plan(clock.get(), 0).starts())
         {
-            start.task().sent();
-            start.task().startAnswered(clock.get());
+            start.task().markSent();
+            start.task().onStartAnswered(clock.get());
         }
     }
 
     private Effects loseWorker(TrackedWorker worker, WorkerLossCause cause)
     {
-        worker.unlisted();
+        worker.clearEntry();
         return cellState.onWorkerLost(worker, cause);
     }
 
     private void heartbeat(TrackedWorker worker, Task task)
     {
-        cellState.applyHeartbeat(worker, TestJobs.answer(List.of(TestJobs.running(task)), List.of()), 0,
-                clock.get());
+        cellState.applyHeartbeat(worker,
+                TestJobs.heartbeatReply(List.of(TestJobs.runningRun(task)), List.of()), 0, clock.get());
     }
 
     /** Starts the task on the only worker and loses the worker after the given time. */
@@ -88,7 +88,7 @@
     {
         TrackedWorker worker = listIncarnation();
         startAll();
-        Task task = cellState.find(TASK);
+        Task task = cellState.findTask(TASK);
         assertThat(task.worker()).isSameInstanceAs(worker);
         advance(millis);
         if (millis > 0)
@@ -105,8 +105,8 @@
         startAndLoseWorker(WorkerLossCause.CRASHED, 0);
         assertThat(task.step().job().state()).isEqualTo(JobState.RUNNING);
         Effects effects = startAndLoseWorker(WorkerLossCause.CRASHED, 0);
-        assertThat(effects.givenUp()).hasSize(1);
-        assertThat(effects.givenUp().getFirst().crashes().proven()).containsExactly("w1", "w2");
+        assertThat(effects.poisonTasks()).hasSize(1);
+        assertThat(effects.poisonTasks().getFirst().crashes().proven()).containsExactly("w1", "w2");
         assertThat(task.step().job().state()).isEqualTo(JobState.FAILED);
     }
 
@@ -176,9 +176,9 @@
         accept();
         TrackedWorker worker = listIncarnation();
         startAll();
-        cellState.list(new WorkerEntry(WorkerIncarnation.parse(worker.id()), "service", "127.0.0.1:1", "hall",
-                true, 1_000, new ComputeResources(0, WORKER_CPU, 32_768, 0), Set.of(), "r"));
-        worker.unlisted();
+        cellState.updateWorker(new WorkerEntry(WorkerIncarnation.parse(worker.id()), "service", "127.0.0.1:1",
+                "hall", true, 1_000, new ComputeResources(0, WORKER_CPU, 32_768, 0), Set.of(), "r"));
+        worker.clearEntry();
         assertThat(worker.isLeaving()).isTrue();
     }
 
@@ -193,7 +193,7 @@
         planner = newPlanner();
         cellState.accept(task.step().job().record(), 1, progress, 0);
         Effects effects = startAndLoseWorker(WorkerLossCause.CRASHED, 0);
-        assertThat(effects.givenUp()).hasSize(1);
+        assertThat(effects.poisonTasks()).hasSize(1);
     }
 
     @Test
@@ -205,7 +205,7 @@
         startAll();
         cellState.accept(TestJobs.job("00000000000000bb", TestJobs.step(1, 1_000, List.of())), 1, null, 0);
         assertThat(planner.plan(clock.get(), 0).starts()).isEmpty();
-        advance(CrashGuard.TRIAL_MILLIS);
+        advance(CrashGuard.STARTUP_MILLIS);
         heartbeat(worker, suspect);
         assertThat(planner.plan(clock.get(), 0).starts()).hasSize(1);
     }
@@ -216,13 +216,13 @@
     {
         accept();
         cellState.accept(TestJobs.job("00000000000000bb", TestJobs.step(1, 1_000, List.of())), 1, null, 0);
-        Task neighbour = cellState.find("00000000000000bb.0.0.0");
+        Task neighbour = cellState.findTask("00000000000000bb.0.0.0");
         startAndLoseWorker(WorkerLossCause.CRASHED, 0);
         assertThat(neighbour.crashes().count(Attribution.AT_START)).isEqualTo(1);
         TrackedWorker worker = listIncarnation();
         startAll();
         Task isolated = worker.tasks().getFirst();
-        Task other = isolated == neighbour ? cellState.find(TASK) : neighbour;
+        Task other = isolated == neighbour ? cellState.findTask(TASK) : neighbour;
         loseWorker(worker, WorkerLossCause.CRASHED);
         assertThat(isolated.step().job().state()).isEqualTo(JobState.FAILED);
         assertThat(other.crashes().count(Attribution.EXPLAINED)).isEqualTo(1);
@@ -231,11 +231,11 @@
 
     private void startOn(Task task, TrackedWorker worker, boolean isAnswered)
     {
-        task.order(worker, task.run() + 1, clock.get());
-        task.sent();
+        task.assign(worker, task.run() + 1, clock.get());
+        task.markSent();
         if (isAnswered)
         {
-            task.startAnswered(clock.get());
+            task.onStartAnswered(clock.get());
         }
     }
 
@@ -245,7 +245,7 @@
     {
         Task poison = accept();
         cellState.accept(TestJobs.job("00000000000000bb", TestJobs.step(1, 1_000, List.of())), 1, null, 0);
-        Task neighbour = cellState.find("00000000000000bb.0.0.0");
+        Task neighbour = cellState.findTask("00000000000000bb.0.0.0");
         TrackedWorker first = listIncarnation();
         startOn(neighbour, first, false);
         loseWorker(first, WorkerLossCause.CRASHED);
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/ExpiringLeasesTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/ExpiringLeasesTest.java
@@ -45,7 +45,7 @@
         first = platform.addWorker("w1");
         term = new TestTerm(platform, "box-1");
         platform.accept(TestJobs.job(TestJobs.ID, TestJobs.longRunning(1)));
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.isRunning(TASK))).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> first.isRunning(TASK))).isTrue();
     }
 
     @AfterEach
@@ -78,47 +78,47 @@
     @Test
     void runsOfWorkerLostBeforeTermRestartOnceRecordedLeaseExpires() throws InterruptedException
     {
-        first.setSilent(true);
-        assertThat(TestJobs.within(MAX_RECORD_MILLIS, () -> isRecorded("w1"))).isTrue();
+        first.setUnresponsive(true);
+        assertThat(TestJobs.waitUntil(MAX_RECORD_MILLIS, () -> isRecorded("w1"))).isTrue();
         platform.unlist("w1");
         FakeWorker second = platform.addWorker("w2");
         long remainingLeaseMillis = first.newestDeadline() - first.clockMillis();
         changeOwner("box-2");
-        assertThat(TestJobs.within(remainingLeaseMillis - 100, () -> second.isRunning(TASK))).isFalse();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> second.isRunning(TASK))).isTrue();
-        assertThat(second.begun()).isEqualTo(List.of(TASK + "/2"));
+        assertThat(TestJobs.waitUntil(remainingLeaseMillis - 100, () -> second.isRunning(TASK))).isFalse();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> second.isRunning(TASK))).isTrue();
+        assertThat(second.startedRuns()).isEqualTo(List.of(TASK + "/2"));
     }
 
     /** Guards against trusting a record although the term in between may have renewed the leases. */
     @Test
     void recordFromTwoTermsAgoIsIgnored() throws InterruptedException
     {
-        first.setSilent(true);
-        assertThat(TestJobs.within(MAX_RECORD_MILLIS, () -> isRecorded("w1"))).isTrue();
+        first.setUnresponsive(true);
+        assertThat(TestJobs.waitUntil(MAX_RECORD_MILLIS, () -> isRecorded("w1"))).isTrue();
         term.close();
         byte[] other = "box-of-another-version".getBytes(StandardCharsets.UTF_8);
         platform.store().commit(new StoreTransaction().put(JobKeys.OWNER, other).put(JobKeys.JOURNAL, other));
         FakeWorker second = platform.addWorker("w2");
         term = new TestTerm(platform, "box-2");
-        assertThat(TestJobs.within(MIN_UNKNOWN_LEASE_MILLIS, () -> second.isRunning(TASK))).isFalse();
+        assertThat(TestJobs.waitUntil(MIN_UNKNOWN_LEASE_MILLIS, () -> second.isRunning(TASK))).isFalse();
     }
 
     /** Guards against renewing a lease that the next owner still takes to be expiring. */
     @Test
     void leaseOfRecoveredWorkerIsRenewedOnlyAfterItsRecordIsRemoved() throws InterruptedException
     {
-        first.setSilent(true);
-        assertThat(TestJobs.within(MAX_RECORD_MILLIS, () -> isRecorded("w1"))).isTrue();
+        first.setUnresponsive(true);
+        assertThat(TestJobs.waitUntil(MAX_RECORD_MILLIS, () -> isRecorded("w1"))).isTrue();
         platform.fakeStore().loseWritesOf(JobKeys.EXPIRING_LEASES);
         long deadline = first.newestDeadline();
-        first.setSilent(false);
-        assertThat(TestJobs.within(2_000, () -> first.newestDeadline() > deadline)).isFalse();
+        first.setUnresponsive(false);
+        assertThat(TestJobs.waitUntil(2_000, () -> first.newestDeadline() > deadline)).isFalse();
         assertThat(isRecorded("w1")).isTrue();
         platform.fakeStore().loseWritesOf(null);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.newestDeadline() > deadline)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> first.newestDeadline() > deadline)).isTrue();
         assertThat(isRecorded("w1")).isFalse();
         assertThat(first.isRunning(TASK)).isTrue();
-        assertThat(first.begun()).isEqualTo(List.of(TASK + "/1"));
+        assertThat(first.startedRuns()).isEqualTo(List.of(TASK + "/1"));
     }
 
     /**
@@ -128,26 +128,26 @@
     @Test
     void recordedWorkerThatAnswersNextOwnerKeepsItsRuns() throws InterruptedException
     {
-        first.setSilent(true);
-        assertThat(TestJobs.within(MAX_RECORD_MILLIS, () -> isRecorded("w1"))).isTrue();
+        first.setUnresponsive(true);
+        assertThat(TestJobs.waitUntil(MAX_RECORD_MILLIS, () -> isRecorded("w1"))).isTrue();
         long deadline = first.newestDeadline();
         term.close();
-        first.setSilent(false);
+        first.setUnresponsive(false);
         term = new TestTerm(platform, "box-2");
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.newestDeadline() > deadline)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> first.newestDeadline() > deadline)).isTrue();
         assertThat(isRecorded("w1")).isFalse();
-        assertThat(first.begun()).isEqualTo(List.of(TASK + "/1"));
+        assertThat(first.startedRuns()).isEqualTo(List.of(TASK + "/1"));
     }
 
     /** Guards against letting a lease expire because of a single lost connection. */
     @Test
     void workerThatMissesOneHeartbeatIsNotRecorded() throws InterruptedException
     {
-        first.setSilent(true);
-        int heartbeats = first.looks();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.looks() > heartbeats)).isTrue();
-        first.setSilent(false);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> isRecorded("w1"))).isFalse();
+        first.setUnresponsive(true);
+        int heartbeats = first.heartbeatCount();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> first.heartbeatCount() > heartbeats)).isTrue();
+        first.setUnresponsive(false);
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> isRecorded("w1"))).isFalse();
     }
 
     /**
@@ -161,13 +161,13 @@
         String other = "00000000000000bb";
         platform.accept(TestJobs.job(other, TestJobs.step(1, 1_000, List.of())));
         Thread.sleep(PLACEMENT_MILLIS);
-        first.setSilent(true);
-        assertThat(TestJobs.within(MAX_RECORD_MILLIS, () -> isRecorded("w1"))).isTrue();
-        int starts = first.startsAsked();
+        first.setUnresponsive(true);
+        assertThat(TestJobs.waitUntil(MAX_RECORD_MILLIS, () -> isRecorded("w1"))).isTrue();
+        int starts = first.startCount();
         platform.fakeStore().loseWritesOf(null);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.startsAsked() > starts)).isFalse();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> first.startCount() > starts)).isFalse();
         FakeWorker second = platform.addWorker("w2");
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> second.isRunning(other + ".0.0.0"))).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> second.isRunning(other + ".0.0.0"))).isTrue();
     }
 
     /**
@@ -178,15 +178,15 @@
     void workerThatRecoversBeforeItsRecordIsWrittenIsUsedAgain() throws InterruptedException
     {
         platform.fakeStore().loseWritesOf(JobKeys.EXPIRING_LEASES);
-        first.setSilent(true);
-        int heartbeats = first.looks();
-        assertThat(TestJobs.within(MAX_RECORD_MILLIS,
-                () -> first.looks() > heartbeats + HEARTBEATS_WHILE_UNRESPONSIVE)).isTrue();
-        first.setSilent(false);
+        first.setUnresponsive(true);
+        int heartbeats = first.heartbeatCount();
+        assertThat(TestJobs.waitUntil(MAX_RECORD_MILLIS,
+                () -> first.heartbeatCount() > heartbeats + HEARTBEATS_WHILE_UNRESPONSIVE)).isTrue();
+        first.setUnresponsive(false);
         Thread.sleep(PLACEMENT_MILLIS);
         long deadline = first.newestDeadline();
         platform.fakeStore().loseWritesOf(null);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.newestDeadline() > deadline)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> first.newestDeadline() > deadline)).isTrue();
         assertThat(isRecorded("w1")).isFalse();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/FakeMachine.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/FakeMachine.java
@@ -51,7 +51,7 @@
     private void restart(String id, FakeWorker previous) throws InterruptedException
     {
         Thread.sleep(DOWN_MILLIS);
-        previous.endLife();
+        previous.endIncarnation();
         startIncarnation();
         Thread.sleep(STALE_ENTRY_MILLIS);
         platform.unlist(id);
@@ -60,7 +60,7 @@
     /** Returns the number of runs of a task that were started on all workers of this machine. */
     synchronized int startCount(String task)
     {
-        return (int) incarnations.stream().flatMap(incarnation -> incarnation.begun().stream())
+        return (int) incarnations.stream().flatMap(incarnation -> incarnation.startedRuns().stream())
                 .filter(run -> run.startsWith(task + '/')).count();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/FakePlatform.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/FakePlatform.java
@@ -66,13 +66,14 @@
     }
 
     /** Lists an incarnation of a worker with its start time, which replaces the previous one. */
-    void addLife(String id, byte startTime, FakeWorker worker) throws InterruptedException
+    void addIncarnation(String id, byte startTime, FakeWorker worker) throws InterruptedException
     {
-        addLife(id, startTime, worker, DEFAULT_UNITS);
+        addIncarnation(id, startTime, worker, DEFAULT_UNITS);
     }
 
     /** Lists an incarnation of a worker with the given number of processors. */
-    void addLife(String id, byte startTime, FakeWorker worker, byte processors) throws InterruptedException
+    void addIncarnation(String id, byte startTime, FakeWorker worker, byte processors)
+            throws InterruptedException
     {
         workers.put(new WorkerIncarnation(id, startTime).text(), worker);
         store.commit(new StoreTransaction().put(WORKERS + id, new byte[]{VALID, processors, startTime}));
@@ -97,7 +98,7 @@
     }
 
     /** Replaces a worker's entry by one that is invalid. */
-    void spoil(String id) throws InterruptedException
+    void writeInvalidEntry(String id) throws InterruptedException
     {
         store.commit(new StoreTransaction().put(WORKERS + id, new byte[]{INVALID}));
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/FakeWorker.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/FakeWorker.java
@@ -107,7 +107,7 @@
     }
 
     /** Returns the number of heartbeats received. */
-    synchronized int looks()
+    synchronized int heartbeatCount()
     {
         return heartbeatCount;
     }
@@ -119,7 +119,7 @@
     }
 
     /** Delivers the newest lost start and returns its result. */
-    synchronized CommandResult arriveLate()
+    synchronized CommandResult deliverLostStart()
     {
         return deliver(lostStart);
     }
@@ -137,21 +137,21 @@
     }
 
     /** Refuses all starts and stops, and delays the refusal of starts. */
-    synchronized void turnAwayAndHoldStarts()
+    synchronized void refuseAndDelayStarts()
     {
         unhealthy = true;
         delaysStarts = true;
     }
 
     /** Ends the delay of starts. */
-    synchronized void letStartsGo()
+    synchronized void releaseStarts()
     {
         delaysStarts = false;
         notifyAll();
     }
 
     /** Ends this incarnation: all later calls are answered by another one. */
-    synchronized void endLife()
+    synchronized void endIncarnation()
     {
         isReplaced = true;
         unresponsive = false;
@@ -174,18 +174,18 @@
     }
 
     /** Sets whether the worker leaves calls unanswered; its runs continue. */
-    synchronized void setSilent(boolean value)
+    synchronized void setUnresponsive(boolean value)
     {
         unresponsive = value;
     }
 
     /** Adds a run that an earlier owner started. */
-    synchronized void runs(String task, int run)
+    synchronized void addRun(String task, int run)
     {
         running.put(task, run);
     }
 
-    synchronized void end(String task, RunEnd outcome)
+    synchronized void endRun(String task, RunEnd outcome)
     {
         int run = running.remove(task);
         highestEndedRun.merge(task, run, Math::max);
@@ -195,18 +195,18 @@
     }
 
     /** Returns the started runs as TASK/RUN in the order of their starts. */
-    synchronized List<String> begun()
+    synchronized List<String> startedRuns()
     {
         return List.copyOf(startedRuns);
     }
 
-    synchronized List<String> stopped()
+    synchronized List<String> stoppedTasks()
     {
         return List.copyOf(stoppedTasks);
     }
 
     /** Returns the number of starts received, whatever their result. */
-    synchronized int startsAsked()
+    synchronized int startCount()
     {
         return startCount;
     }
@@ -229,7 +229,7 @@
         return closed;
     }
 
-    synchronized int unnoted()
+    synchronized int unacknowledgedEndCount()
     {
         return ends.size();
     }
@@ -328,7 +328,7 @@
             highestEndedRun.merge(task, run, Math::max);
             if (running.getOrDefault(task, 0) == run)
             {
-                end(task, RunEnd.STOPPED);
+                endRun(task, RunEnd.STOPPED);
             }
         }
         while (delaysStopReplies)
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/JournalTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/JournalTest.java
@@ -162,7 +162,7 @@
         synchronized (cellState)
         {
             cellState.accept(record, 1, null, 0);
-            job = cellState.find(TASK).step().job();
+            job = cellState.findTask(TASK).step().job();
         }
         List<Job> changed = new ArrayList<>();
         store.afterNextCommit(() ->
@@ -170,7 +170,7 @@
             synchronized (cellState)
             {
                 changed.addAll(
-                        cellState.cancel(TestJobs.ID, new Cancellation(TestJobs.QUEUE.name())).changed());
+                        cellState.cancel(TestJobs.ID, new Cancellation(TestJobs.QUEUE.name())).changedJobs());
             }
         });
         assertThat(isWritten(job)).isTrue();
@@ -186,7 +186,7 @@
     {
         synchronized (cellState)
         {
-            return cellState.find(TASK) != null;
+            return cellState.findTask(TASK) != null;
         }
     }
 
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerElectionTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerElectionTest.java
@@ -91,7 +91,7 @@
         probe.setOwnerUnresponsive("bole-3", true);
         probe.setOwnerUnresponsive("bole-4", true);
         startElection();
-        assertThat(TestJobs.within(3_000, () -> election.isOwner())).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> election.isOwner())).isTrue();
         assertThat(ownerKey().modRevision()).isGreaterThan(before);
         assertThat(new String(ownerKey().value(), StandardCharsets.UTF_8)).startsWith("bole-2/");
     }
@@ -102,9 +102,9 @@
         long lease = acquireForOther();
         probe.setOwner(OTHER, 100);
         startElection();
-        assertThat(TestJobs.within(800, () -> election.isOwner())).isFalse();
+        assertThat(TestJobs.waitUntil(800, () -> election.isOwner())).isFalse();
         platform.fakeStore().revokeLease(lease);
-        assertThat(TestJobs.within(3_000, () -> election.isOwner())).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> election.isOwner())).isTrue();
     }
 
     @Test
@@ -112,10 +112,10 @@
     {
         outranked = true;
         startElection();
-        assertThat(TestJobs.within(200, () -> election.isOwner())).isFalse();
+        assertThat(TestJobs.waitUntil(200, () -> election.isOwner())).isFalse();
         acquireForOther();
         probe.setOwner(OTHER, 100);
-        assertThat(TestJobs.within(800, () -> election.isOwner())).isFalse();
+        assertThat(TestJobs.waitUntil(800, () -> election.isOwner())).isFalse();
     }
 
     @Test
@@ -123,8 +123,8 @@
     {
         longerRunning = true;
         startElection();
-        assertThat(TestJobs.within(40, () -> election.isOwner())).isFalse();
-        assertThat(TestJobs.within(3_000, () -> election.isOwner())).isTrue();
+        assertThat(TestJobs.waitUntil(40, () -> election.isOwner())).isFalse();
+        assertThat(TestJobs.waitUntil(3_000, () -> election.isOwner())).isTrue();
     }
 
     @Test
@@ -132,7 +132,7 @@
     {
         outranked = true;
         startElection();
-        assertThat(TestJobs.within(3_000, () -> election.isOwner())).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> election.isOwner())).isTrue();
     }
 
     /**
@@ -145,10 +145,10 @@
         store.delayNextWriteOf(JobKeys.OWNER);
         startElection();
         store.awaitLateWrite();
-        assertThat(TestJobs.within(6_000, () -> election.isOwner())).isTrue();
+        assertThat(TestJobs.waitUntil(6_000, () -> election.isOwner())).isTrue();
         StoredValue key = ownerKey();
         assertThat(new String(key.value(), StandardCharsets.UTF_8)).startsWith("bole-2/");
-        assertThat(TestJobs.within(1_500, () -> !election.isOwner())).isFalse();
+        assertThat(TestJobs.waitUntil(1_500, () -> !election.isOwner())).isFalse();
         assertThat(ownerKey().modRevision()).isEqualTo(key.modRevision());
     }
 
@@ -156,9 +156,9 @@
     void ownerReleasesOwnershipToHigherRankedBox() throws InterruptedException
     {
         startElection();
-        assertThat(TestJobs.within(3_000, () -> election.isOwner())).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> election.isOwner())).isTrue();
         outranked = true;
-        assertThat(TestJobs.within(10_000, () -> !election.isOwner())).isTrue();
+        assertThat(TestJobs.waitUntil(10_000, () -> !election.isOwner())).isTrue();
         assertThat(platform.fakeStore().get(JobKeys.OWNER)).isEmpty();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerTermTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerTermTest.java
@@ -111,9 +111,10 @@
         FakeWorker worker = platform.addWorker("w1");
         beginTerm();
         acceptJob(ONE_TASK);
-        assertThat(TestJobs.within(3_000, () -> worker.begun().equals(List.of(TASK + "/1")))).isTrue();
-        worker.end(TASK, RunEnd.DONE);
-        assertThat(TestJobs.within(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> worker.startedRuns().equals(List.of(TASK + "/1"))))
+                .isTrue();
+        worker.endRun(TASK, RunEnd.DONE);
+        assertThat(TestJobs.waitUntil(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
     }
 
     /**
@@ -127,9 +128,10 @@
         AtomicReference<CellConfig> config = new AtomicReference<>(CellConfig.NONE);
         term = new TestTerm(platform, "box", events, RETENTION_NANOS, config::get);
         acceptJob(ONE_TASK);
-        assertThat(TestJobs.within(1_000, () -> !worker.begun().isEmpty())).isFalse();
+        assertThat(TestJobs.waitUntil(1_000, () -> !worker.startedRuns().isEmpty())).isFalse();
         config.set(new CellConfig(1, List.of(), List.of("service"), Customers.NONE));
-        assertThat(TestJobs.within(3_000, () -> worker.begun().equals(List.of(TASK + "/1")))).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> worker.startedRuns().equals(List.of(TASK + "/1"))))
+                .isTrue();
     }
 
     @Test
@@ -144,8 +146,8 @@
         FakeWorker worker = platform.addWorker("w1");
         platform.fakeStore().goDownAfterWriting(JobKeys.PROGRESS);
         beginTerm();
-        assertThat(TestJobs.within(3_000, () -> !worker.begun().isEmpty())).isTrue();
-        assertThat(worker.begun().size()).isLessThan(jobs);
+        assertThat(TestJobs.waitUntil(3_000, () -> !worker.startedRuns().isEmpty())).isTrue();
+        assertThat(worker.startedRuns().size()).isLessThan(jobs);
     }
 
     @Test
@@ -154,15 +156,16 @@
         FakeWorker worker = platform.addWorker("w1");
         beginTerm();
         acceptJob(ONE_TASK);
-        assertThat(TestJobs.within(3_000, () -> worker.begun().equals(List.of(TASK + "/1")))).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> worker.startedRuns().equals(List.of(TASK + "/1"))))
+                .isTrue();
         platform.fakeStore().silenceWatches(true);
         acceptOtherJob();
-        assertThat(TestJobs.within(500, () -> worker.begun().size() > 1)).isFalse();
+        assertThat(TestJobs.waitUntil(500, () -> worker.startedRuns().size() > 1)).isFalse();
         term.term().onJobWritten(OTHER_ID);
         List<String> both = List.of(TASK + "/1", OTHER_ID + ".0.0.0/1");
-        assertThat(TestJobs.within(3_000, () -> worker.begun().equals(both))).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> worker.startedRuns().equals(both))).isTrue();
         platform.fakeStore().silenceWatches(false);
-        assertThat(TestJobs.within(500, () -> worker.begun().size() > 2)).isFalse();
+        assertThat(TestJobs.waitUntil(500, () -> worker.startedRuns().size() > 2)).isFalse();
     }
 
     /**
@@ -175,14 +178,15 @@
         FakeWorker worker = platform.addWorker("w1");
         beginTerm();
         acceptJob(ONE_TASK);
-        assertThat(TestJobs.within(3_000, () -> worker.begun().equals(List.of(TASK + "/1")))).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> worker.startedRuns().equals(List.of(TASK + "/1"))))
+                .isTrue();
         platform.fakeStore().silenceWatches(true);
         acceptOtherJob();
         platform.store().commit(new StoreTransaction().put(JobKeys.cancel(OTHER_ID), new byte[]{'1'}));
         term.term().onJobWritten(OTHER_ID);
-        assertThat(TestJobs.within(1_500, () -> worker.begun().size() > 1)).isFalse();
+        assertThat(TestJobs.waitUntil(1_500, () -> worker.startedRuns().size() > 1)).isFalse();
         platform.fakeStore().silenceWatches(false);
-        assertThat(TestJobs.within(500, () -> worker.begun().size() > 1)).isFalse();
+        assertThat(TestJobs.waitUntil(500, () -> worker.startedRuns().size() > 1)).isFalse();
     }
 
     @Test
@@ -193,8 +197,9 @@
         platform.store().commit(
                 new StoreTransaction().put(JobKeys.job(TestJobs.ID), JobCodec.writeRecord(tombstone)));
         beginTerm();
-        assertThat(TestJobs.within(1_000, () -> !worker.begun().isEmpty())).isFalse();
-        assertThat(TestJobs.within(9_000, () -> platform.fakeStore().get(JobKeys.job(TestJobs.ID)).isEmpty()))
+        assertThat(TestJobs.waitUntil(1_000, () -> !worker.startedRuns().isEmpty())).isFalse();
+        assertThat(
+                TestJobs.waitUntil(9_000, () -> platform.fakeStore().get(JobKeys.job(TestJobs.ID)).isEmpty()))
                 .isTrue();
     }
 
@@ -204,12 +209,14 @@
         FakeWorker worker = platform.addWorker("w1");
         beginTerm();
         acceptJob(ONE_TASK);
-        assertThat(TestJobs.within(3_000, () -> !worker.begun().isEmpty())).isTrue();
-        worker.end(TASK, RunEnd.DONE);
-        assertThat(TestJobs.within(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
-        assertThat(TestJobs.within(1_000, () -> platform.fakeStore().get(JobKeys.job(TestJobs.ID)).isEmpty()))
+        assertThat(TestJobs.waitUntil(3_000, () -> !worker.startedRuns().isEmpty())).isTrue();
+        worker.endRun(TASK, RunEnd.DONE);
+        assertThat(TestJobs.waitUntil(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
+        assertThat(
+                TestJobs.waitUntil(1_000, () -> platform.fakeStore().get(JobKeys.job(TestJobs.ID)).isEmpty()))
                 .isFalse();
-        assertThat(TestJobs.within(9_000, () -> platform.fakeStore().get(JobKeys.job(TestJobs.ID)).isEmpty()))
+        assertThat(
+                TestJobs.waitUntil(9_000, () -> platform.fakeStore().get(JobKeys.job(TestJobs.ID)).isEmpty()))
                 .isTrue();
         assertThat(platform.fakeStore().get(JobKeys.progress(TestJobs.ID)).isEmpty()).isTrue();
     }
@@ -218,14 +225,15 @@
     void recordsOfJobCancelledDuringRefusedStartAreRemoved() throws InterruptedException
     {
         FakeWorker worker = platform.addWorker("w1");
-        worker.turnAwayAndHoldStarts();
+        worker.refuseAndDelayStarts();
         beginTerm();
         acceptJob(ONE_TASK);
-        assertThat(TestJobs.within(3_000, () -> worker.startsAsked() == 1)).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> worker.startCount() == 1)).isTrue();
         cancelJob();
-        assertThat(TestJobs.within(3_000, () -> storedState() == JobState.CANCELLED)).isTrue();
-        worker.letStartsGo();
-        assertThat(TestJobs.within(9_000, () -> platform.fakeStore().get(JobKeys.job(TestJobs.ID)).isEmpty()))
+        assertThat(TestJobs.waitUntil(3_000, () -> storedState() == JobState.CANCELLED)).isTrue();
+        worker.releaseStarts();
+        assertThat(
+                TestJobs.waitUntil(9_000, () -> platform.fakeStore().get(JobKeys.job(TestJobs.ID)).isEmpty()))
                 .isTrue();
     }
 
@@ -235,11 +243,11 @@
         FakeWorker worker = platform.addWorker("w1");
         acceptJob(ONE_TASK);
         storeRunningTask("w1", 1);
-        worker.runs(TASK, 1);
-        worker.end(TASK, RunEnd.DONE);
+        worker.addRun(TASK, 1);
+        worker.endRun(TASK, RunEnd.DONE);
         beginTerm();
-        assertThat(TestJobs.within(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
-        assertThat(worker.begun()).isEmpty();
+        assertThat(TestJobs.waitUntil(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
+        assertThat(worker.startedRuns()).isEmpty();
     }
 
     @Test
@@ -248,11 +256,11 @@
         FakeWorker worker = platform.addWorker("w1");
         acceptJob(ONE_TASK);
         storeRunningTask("w1", 1);
-        worker.runs(TASK, 1);
+        worker.addRun(TASK, 1);
         cancelJob();
         beginTerm();
-        assertThat(TestJobs.within(4_000, () -> worker.stopped().contains(TASK))).isTrue();
-        assertThat(TestJobs.within(3_000, () -> storedState() == JobState.CANCELLED)).isTrue();
+        assertThat(TestJobs.waitUntil(4_000, () -> worker.stoppedTasks().contains(TASK))).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> storedState() == JobState.CANCELLED)).isTrue();
     }
 
     @Test
@@ -262,7 +270,8 @@
         acceptJob(ONE_TASK);
         storeRunningTask("w1", 1);
         beginTerm();
-        assertThat(TestJobs.within(3_000, () -> worker.begun().equals(List.of(TASK + "/2")))).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> worker.startedRuns().equals(List.of(TASK + "/2"))))
+                .isTrue();
     }
 
     @Test
@@ -272,7 +281,7 @@
         acceptJob(ONE_TASK);
         storeRunningTask("w1", 1);
         beginTerm();
-        assertThat(TestJobs.within(1_500, () -> !worker.begun().isEmpty())).isFalse();
+        assertThat(TestJobs.waitUntil(1_500, () -> !worker.startedRuns().isEmpty())).isFalse();
     }
 
     @Test
@@ -282,9 +291,10 @@
         worker.loseStarts(3);
         beginTerm();
         acceptJob(ONE_TASK);
-        assertThat(TestJobs.within(6_000, () -> worker.begun().equals(List.of(TASK + "/2")))).isTrue();
-        assertThat(worker.arriveLate()).isEqualTo(CommandResult.OLD_RUN);
-        assertThat(worker.begun()).containsExactly(TASK + "/2");
+        assertThat(TestJobs.waitUntil(6_000, () -> worker.startedRuns().equals(List.of(TASK + "/2"))))
+                .isTrue();
+        assertThat(worker.deliverLostStart()).isEqualTo(CommandResult.OLD_RUN);
+        assertThat(worker.startedRuns()).containsExactly(TASK + "/2");
     }
 
     @Test
@@ -293,10 +303,11 @@
         FakeWorker first = platform.addWorker("w1");
         beginTerm();
         acceptJob(ONE_TASK);
-        assertThat(TestJobs.within(3_000, () -> !first.begun().isEmpty())).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> !first.startedRuns().isEmpty())).isTrue();
         FakeWorker second = platform.addWorker("w2");
-        first.endLife();
-        assertThat(TestJobs.within(4_000, () -> second.begun().equals(List.of(TASK + "/2")))).isTrue();
+        first.endIncarnation();
+        assertThat(TestJobs.waitUntil(4_000, () -> second.startedRuns().equals(List.of(TASK + "/2"))))
+                .isTrue();
     }
 
     @Test
@@ -305,13 +316,13 @@
         FakeWorker worker = platform.addWorker("w1");
         beginTerm();
         acceptJob(ONE_TASK);
-        assertThat(TestJobs.within(3_000, () -> !worker.begun().isEmpty())).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> !worker.startedRuns().isEmpty())).isTrue();
         platform.fakeStore().setDown(true);
-        worker.end(TASK, RunEnd.DONE);
-        assertThat(TestJobs.within(1_500, () -> worker.unnoted() == 0)).isFalse();
+        worker.endRun(TASK, RunEnd.DONE);
+        assertThat(TestJobs.waitUntil(1_500, () -> worker.unacknowledgedEndCount() == 0)).isFalse();
         platform.fakeStore().setDown(false);
-        assertThat(TestJobs.within(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
-        assertThat(TestJobs.within(3_000, () -> worker.unnoted() == 0)).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> worker.unacknowledgedEndCount() == 0)).isTrue();
     }
 
     private boolean isEndRead()
@@ -329,17 +340,17 @@
         FakeWorker worker = platform.addWorker("w1");
         beginTerm();
         acceptJob(ONE_TASK);
-        assertThat(TestJobs.within(3_000, () -> !worker.begun().isEmpty())).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> !worker.startedRuns().isEmpty())).isTrue();
         platform.fakeStore().loseWritesOf(JobKeys.PROGRESS);
-        worker.end(TASK, RunEnd.DONE);
-        assertThat(TestJobs.within(3_000, this::isEndRead)).isTrue();
+        worker.endRun(TASK, RunEnd.DONE);
+        assertThat(TestJobs.waitUntil(3_000, this::isEndRead)).isTrue();
         platform.unlist("w1");
-        assertThat(TestJobs.within(3_000, worker::isClosed)).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, worker::isClosed)).isTrue();
         platform.list("w1");
-        assertThat(TestJobs.within(2_500, () -> worker.unnoted() == 0)).isFalse();
+        assertThat(TestJobs.waitUntil(2_500, () -> worker.unacknowledgedEndCount() == 0)).isFalse();
         platform.fakeStore().loseWritesOf(null);
-        assertThat(TestJobs.within(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
-        assertThat(TestJobs.within(3_000, () -> worker.unnoted() == 0)).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> worker.unacknowledgedEndCount() == 0)).isTrue();
     }
 
     /**
@@ -353,18 +364,19 @@
         FakeWorker second = platform.addWorker("w2");
         beginTerm();
         acceptJob(TestJobs.gang(2, 10_000));
-        assertThat(TestJobs.within(3_000, () -> !first.begun().isEmpty() && !second.begun().isEmpty()))
-                .isTrue();
+        assertThat(TestJobs.waitUntil(3_000,
+                () -> !first.startedRuns().isEmpty() && !second.startedRuns().isEmpty())).isTrue();
         platform.fakeStore().loseWritesOf(JobKeys.PROGRESS);
-        second.setSilent(true);
-        first.end(first.begun().getFirst().replace("/1", ""), RunEnd.DONE);
-        assertThat(TestJobs.within(3_000, this::isEndRead)).isTrue();
-        second.end(second.begun().getFirst().replace("/1", ""), RunEnd.DONE);
-        second.setSilent(false);
-        assertThat(TestJobs.within(2_500, () -> second.unnoted() == 0)).isFalse();
+        second.setUnresponsive(true);
+        first.endRun(first.startedRuns().getFirst().replace("/1", ""), RunEnd.DONE);
+        assertThat(TestJobs.waitUntil(3_000, this::isEndRead)).isTrue();
+        second.endRun(second.startedRuns().getFirst().replace("/1", ""), RunEnd.DONE);
+        second.setUnresponsive(false);
+        assertThat(TestJobs.waitUntil(2_500, () -> second.unacknowledgedEndCount() == 0)).isFalse();
         platform.fakeStore().loseWritesOf(null);
-        assertThat(TestJobs.within(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
-        assertThat(TestJobs.within(3_000, () -> first.unnoted() + second.unnoted() == 0)).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
+        assertThat(TestJobs.waitUntil(3_000,
+                () -> first.unacknowledgedEndCount() + second.unacknowledgedEndCount() == 0)).isTrue();
     }
 
     @Test
@@ -373,15 +385,15 @@
         FakeWorker worker = platform.addWorker("w1");
         OwnerLease lease = beginTerm();
         Thread.sleep(300);
-        worker.setSilent(true);
+        worker.setUnresponsive(true);
         Thread.sleep(5_000);
         acceptJob(ONE_TASK);
-        assertThat(TestJobs.within(2_000, () -> worker.startsAsked() > 0)).isFalse();
-        worker.setSilent(false);
-        boolean hasStarted = TestJobs.within(5_000, () -> worker.begun().equals(List.of(TASK + "/1")));
-        assertWithMessage(
-                "started " + worker.begun() + ", term ended: " + lease.hasEnded() + ' ' + lease.endReason())
-                .that(hasStarted).isTrue();
+        assertThat(TestJobs.waitUntil(2_000, () -> worker.startCount() > 0)).isFalse();
+        worker.setUnresponsive(false);
+        boolean hasStarted = TestJobs.waitUntil(5_000,
+                () -> worker.startedRuns().equals(List.of(TASK + "/1")));
+        assertWithMessage("started " + worker.startedRuns() + ", term ended: " + lease.hasEnded() + ' '
+                + lease.endReason()).that(hasStarted).isTrue();
     }
 
     @Test
@@ -390,11 +402,12 @@
         FakeWorker unresponsive = platform.addWorker("w1");
         beginTerm();
         acceptJob(ONE_TASK);
-        assertThat(TestJobs.within(3_000, () -> !unresponsive.begun().isEmpty())).isTrue();
-        unresponsive.setSilent(true);
+        assertThat(TestJobs.waitUntil(3_000, () -> !unresponsive.startedRuns().isEmpty())).isTrue();
+        unresponsive.setUnresponsive(true);
         FakeWorker other = platform.addWorker("w2");
-        assertThat(TestJobs.within(4_500, () -> !other.begun().isEmpty())).isFalse();
-        assertThat(TestJobs.within(4_500, () -> other.begun().equals(List.of(TASK + "/2")))).isTrue();
+        assertThat(TestJobs.waitUntil(4_500, () -> !other.startedRuns().isEmpty())).isFalse();
+        assertThat(TestJobs.waitUntil(4_500, () -> other.startedRuns().equals(List.of(TASK + "/2"))))
+                .isTrue();
     }
 
     @Test
@@ -403,7 +416,7 @@
         FakeWorker worker = platform.addWorker("w1");
         OwnerLease lease = beginTerm();
         acceptJob(ONE_TASK);
-        assertThat(TestJobs.within(3_000, () -> !worker.begun().isEmpty())).isTrue();
+        assertThat(TestJobs.waitUntil(3_000, () -> !worker.startedRuns().isEmpty())).isTrue();
         worker.stop("other", 1, Long.MAX_VALUE, 100);
         assertThat(lease.awaitEnd(4_000)).isTrue();
     }
@@ -417,9 +430,9 @@
         platform.fakeStore().afterNextCommitOf(JobKeys.PROGRESS, () -> Thread.sleep(700));
         beginTerm();
         acceptAdvisedJob(ONE_TASK);
-        assertThat(TestJobs.within(5_000, () -> !worker.begun().isEmpty())).isTrue();
-        assertThat(worker.begun()).containsExactly(TASK + "/2");
-        assertThat(worker.startsAsked()).isEqualTo(1);
+        assertThat(TestJobs.waitUntil(5_000, () -> !worker.startedRuns().isEmpty())).isTrue();
+        assertThat(worker.startedRuns()).containsExactly(TASK + "/2");
+        assertThat(worker.startCount()).isEqualTo(1);
     }
 
     /** Guards against sending an expired ticket although a valid one for the same step is cached. */
@@ -436,7 +449,7 @@
         platform.fakeStore().afterNextCommitOf(JobKeys.PROGRESS, () -> Thread.sleep(700));
         beginTerm();
         acceptAdvisedJob(TestJobs.step(2, 10_000, List.of()));
-        assertThat(TestJobs.within(5_000, () -> worker.startsAsked() > 0)).isTrue();
+        assertThat(TestJobs.waitUntil(5_000, () -> worker.startCount() > 0)).isTrue();
         assertThat(calls.get()).isGreaterThan(1);
         assertThat(worker.newestTicket()).isNotEqualTo("ticket-1");
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/PlannerLoadTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/PlannerLoadTest.java
@@ -73,7 +73,7 @@
     {
         for (int i = 0; i < WORKERS; i++)
         {
-            cellState.list(TestJobs.worker("w" + i, WORKER_CPU)).recordHeartbeat(SteadyClock.nanos());
+            cellState.updateWorker(TestJobs.worker("w" + i, WORKER_CPU)).recordHeartbeat(SteadyClock.nanos());
         }
         for (int i = 0; i < JOBS; i++)
         {
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/PoisonTaskTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/PoisonTaskTest.java
@@ -87,7 +87,7 @@
     void failsTaskThatCrashesItsWorkers() throws InterruptedException
     {
         accept(SINGLE_TASK);
-        TestJobs.within(TIMEOUT_MILLIS, this::hasFailedOrStartedTooOften);
+        TestJobs.waitUntil(TIMEOUT_MILLIS, this::hasFailedOrStartedTooOften);
         assertFailedAsPoison();
     }
 
@@ -95,27 +95,28 @@
     void failsSpeculativeTaskThatCrashesItsWorkers() throws InterruptedException
     {
         accept(SPECULATIVE);
-        TestJobs.within(TIMEOUT_MILLIS, this::hasFailedOrStartedTooOften);
+        TestJobs.waitUntil(TIMEOUT_MILLIS, this::hasFailedOrStartedTooOften);
         assertFailedAsPoison();
     }
 
-    /** Each owner ends as soon as a start is seen, before it can detect the crash. */
+    /** Each owner ends as soon as a run was started, before it can detect the crash. */
     @Test
     void failsPoisonTaskAcrossOwnerChanges() throws InterruptedException
     {
         accept(SINGLE_TASK);
-        int seenStarts = 0;
-        while (state() != JobState.FAILED && seenStarts <= MAX_STARTS)
+        int knownStarts = 0;
+        while (state() != JobState.FAILED && knownStarts <= MAX_STARTS)
         {
-            int startsBefore = seenStarts;
-            TestJobs.within(TIMEOUT_MILLIS, () -> startCount() > startsBefore || state() == JobState.FAILED);
-            if (startCount() == seenStarts)
+            int startsBefore = knownStarts;
+            TestJobs.waitUntil(TIMEOUT_MILLIS,
+                    () -> startCount() > startsBefore || state() == JobState.FAILED);
+            if (startCount() == knownStarts)
             {
                 break;
             }
-            seenStarts = startCount();
+            knownStarts = startCount();
             term.close();
-            term = new TestTerm(platform, "box" + seenStarts);
+            term = new TestTerm(platform, "box" + knownStarts);
         }
         assertFailedAsPoison();
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/PreemptionTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/PreemptionTest.java
@@ -41,7 +41,7 @@
     @BeforeEach
     void listWorker()
     {
-        worker = cellState.list(TestJobs.worker("w1", WHOLE_WORKER));
+        worker = cellState.updateWorker(TestJobs.worker("w1", WHOLE_WORKER));
         worker.setLeaseHeld(true);
     }
 
@@ -62,7 +62,7 @@
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(50));
         wallMillis += 50;
         Planner.Plan plan = planner.plan(clock.get(), wallMillis);
-        plan.starts().forEach(start -> start.task().begun(clock.get()));
+        plan.starts().forEach(start -> start.task().markRunning(clock.get()));
         return plan;
     }
 
@@ -75,7 +75,8 @@
     private void end(Effects.Stop stop, long number)
     {
         cellState.applyHeartbeat(worker,
-                TestJobs.answer(List.of(), List.of(TestJobs.ended(number, stop.task(), RunEnd.STOPPED))),
+                TestJobs.heartbeatReply(List.of(),
+                        List.of(TestJobs.endedRun(number, stop.task(), RunEnd.STOPPED))),
                 number - 1, clock.get());
     }
 
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/QuotaWatchTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/QuotaMonitorTest.java
@@ -17,13 +17,13 @@
 import org.junit.jupiter.api.Test;
 
 /** Guards against repeated log events while a customer's work waits for its quota. */
-class QuotaWatchTest
+class QuotaMonitorTest
 {
     private static final Map<String, ComputeResources> NORTH = Map.of("north",
             new ComputeResources(0, 1_000, 0, 0));
 
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
-    private final QuotaWatch monitor = new QuotaWatch(events);
+    private final QuotaMonitor monitor = new QuotaMonitor(events);
 
     private List<String> logged()
     {
@@ -32,7 +32,7 @@
 
     private void plan(Map<String, ComputeResources> atQuota, long millis)
     {
-        monitor.planned(atQuota, TimeUnit.MILLISECONDS.toNanos(millis));
+        monitor.onPlan(atQuota, TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
     @Test
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/QuotaPropertyTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/QuotaPropertyTest.java
@@ -111,8 +111,8 @@
                 }
                 List<RunningRun> runs = running.values().stream()
                         .map(start -> new RunningRun(start.task().name(), start.run(), "", 1, 0)).toList();
-                TrackedWorker worker = cellState.worker(id).orElseThrow();
-                cellState.applyHeartbeat(worker, TestJobs.answer(runs, List.copyOf(ended)),
+                TrackedWorker worker = cellState.findWorker(id).orElseThrow();
+                cellState.applyHeartbeat(worker, TestJobs.heartbeatReply(runs, List.copyOf(ended)),
                         acknowledgedEnds.getOrDefault(id, 0L), clock.get());
                 acknowledgedEnds.put(id, endCount);
             }
@@ -123,7 +123,7 @@
         {
             running.clear();
             pendingStarts.clear();
-            cellState.onWorkerLost(cellState.worker(id).orElseThrow(), WorkerLossCause.LAPSED);
+            cellState.onWorkerLost(cellState.findWorker(id).orElseThrow(), WorkerLossCause.LAPSED);
             unresponsive = false;
         }
     }
@@ -220,13 +220,13 @@
 
     private Optional<JobProgress> progressOf(String id)
     {
-        Task first = cellState.find(id + ".0.0.0");
+        Task first = cellState.findTask(id + ".0.0.0");
         return first == null ? Optional.empty() : Optional.of(first.step().job().progress());
     }
 
     private void listWorker(SimulatedWorker worker)
     {
-        cellState.list(TestJobs.worker(worker.id, CAPACITY_UNITS * CPU_PER_UNIT));
+        cellState.updateWorker(TestJobs.worker(worker.id, CAPACITY_UNITS * CPU_PER_UNIT));
     }
 
     private void accept(int amount)
@@ -272,13 +272,13 @@
         Set<String> startKeys = new HashSet<>();
         for (Planner.Start start : planner.plan(clock.get(), 0).starts())
         {
-            start.task().sent();
+            start.task().markSent();
             String customer = start.task().step().job().record().customer();
             String startKey = startKey(start);
             maxAllowedUnits.put(startKey, quotaUnits.get(customer));
             customerByStart.put(startKey, customer);
             assertWithMessage("run started only once").that(startKeys.add(startKey)).isTrue();
-            workers.stream().filter(worker -> worker.id.equals(start.slot().id())).findFirst()
+            workers.stream().filter(worker -> worker.id.equals(start.worker().id())).findFirst()
                     .orElseThrow().pendingStarts.add(start);
         }
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/SimulatedCell.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/SimulatedCell.java
@@ -62,7 +62,7 @@
             incarnation++;
             isDown = false;
             lastEnd = 0;
-            worker = cellState.list(TestJobs.worker(name + '-' + incarnation, WORKER_CPU));
+            worker = cellState.updateWorker(TestJobs.worker(name + '-' + incarnation, WORKER_CPU));
             worker.recordHeartbeat(clock.get());
             heartbeatMillis = nowMillis;
         }
@@ -75,7 +75,7 @@
             runs.clear();
             ends.clear();
             isDown = true;
-            hasLostConnection = !crashesSilently;
+            hasLostConnection = !crashesKeepConnections;
             downUntilMillis = nowMillis + DOWN_MILLIS;
         }
 
@@ -83,7 +83,7 @@
         {
             if (isDown && nowMillis >= downUntilMillis)
             {
-                worker.unlisted();
+                worker.clearEntry();
                 recordFailures(cellState.onWorkerLost(worker, WorkerLossCause.CRASHED));
                 startIncarnation();
             }
@@ -126,25 +126,25 @@
             heartbeatMillis = nowMillis;
             if (isDown)
             {
-                worker.recordMissedHeartbeat(clock.get(), !crashesSilently);
+                worker.recordMissedHeartbeat(clock.get(), !crashesKeepConnections);
                 return;
             }
             List<RunningRun> rows = runs.stream()
                     .map(run -> new RunningRun(run.task().name(), run.number(), "", 1, 0)).toList();
-            recordFailures(cellState.applyHeartbeat(worker, TestJobs.answer(rows, List.copyOf(ends)), 0,
-                    clock.get()));
+            recordFailures(cellState.applyHeartbeat(worker, TestJobs.heartbeatReply(rows, List.copyOf(ends)),
+                    0, clock.get()));
             ends.clear();
         }
 
         /** Starts a run; a machine that is down does not answer. */
         private void start(Planner.Start start)
         {
-            start.task().sent();
+            start.task().markSent();
             if (isDown)
             {
                 return;
             }
-            start.task().startAnswered(clock.get());
+            start.task().onStartAnswered(clock.get());
             boolean isLongRunning = start.task().step().spec().longRunning();
             long durationMillis = isLongRunning
                     ? Long.MAX_VALUE
@@ -162,19 +162,19 @@
     private final Set<String> poisonJobs = new HashSet<>();
     private final Map<String, Long> failedMillis = new HashMap<>();
     private final List<Job> jobs = new ArrayList<>();
-    private final boolean crashesSilently;
+    private final boolean crashesKeepConnections;
     private long nowMillis;
     private int crashes;
     private long lostMillis;
 
     /**
      * @param machineCount number of machines
-     * @param crashesSilently whether machines that crash only become unresponsive; otherwise
-     *            connections to them break
+     * @param crashesKeepConnections whether connections to a crashed machine stay open, so that it only
+     *            becomes unresponsive
      */
-    SimulatedCell(int machineCount, boolean crashesSilently)
+    SimulatedCell(int machineCount, boolean crashesKeepConnections)
     {
-        this.crashesSilently = crashesSilently;
+        this.crashesKeepConnections = crashesKeepConnections;
         for (int i = 0; i < machineCount; i++)
         {
             machines.add(new Machine("m" + i));
@@ -185,7 +185,7 @@
     void accept(JobRecord record)
     {
         cellState.accept(record, 1, null, 0);
-        jobs.add(cellState.find(record.id() + ".0.0.0").step().job());
+        jobs.add(cellState.findTask(record.id() + ".0.0.0").step().job());
     }
 
     /** Accepts a job whose runs crash their machines. */
@@ -224,13 +224,13 @@
 
     private void start(Planner.Start start)
     {
-        machines.stream().filter(machine -> machine.worker == start.slot()).findFirst().orElseThrow()
+        machines.stream().filter(machine -> machine.worker == start.worker()).findFirst().orElseThrow()
                 .start(start);
     }
 
     private void recordFailures(Effects effects)
     {
-        effects.givenUp().forEach(task -> failedMillis.put(task.task(), nowMillis));
+        effects.poisonTasks().forEach(task -> failedMillis.put(task.task(), nowMillis));
     }
 
     /** Returns the number of crashes. */
@@ -262,8 +262,8 @@
     /** Returns the number of tasks that have been observed running for at least the given time. */
     long runningFor(long millis)
     {
-        return jobs.stream().flatMap(job -> job.occupying().stream())
-                .filter(task -> task.seenMillis() >= millis).count();
+        return jobs.stream().flatMap(job -> job.tasksOnWorkers().stream())
+                .filter(task -> task.observedMillis() >= millis).count();
     }
 
     /** Returns the number of good jobs that have completed. */
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/SlowWorkerGuardTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/SlowWorkerGuardTest.java
@@ -35,7 +35,7 @@
     {
         for (int i = 0; i < WORKERS; i++)
         {
-            workers.add(cellState.list(TestJobs.worker("w" + i, 64_000)));
+            workers.add(cellState.updateWorker(TestJobs.worker("w" + i, 64_000)));
             tasks.put(workers.get(i), new ArrayList<>());
         }
         for (String job : jobs)
@@ -43,9 +43,9 @@
             cellState.accept(TestJobs.job(job, TestJobs.step(WORKERS, 100, List.of())), 1, null, 0);
             for (int i = 0; i < WORKERS; i++)
             {
-                Task task = cellState.find(job + ".0.0." + i);
-                task.order(workers.get(i), 1, clock.get());
-                task.begun(clock.get());
+                Task task = cellState.findTask(job + ".0.0." + i);
+                task.assign(workers.get(i), 1, clock.get());
+                task.markRunning(clock.get());
                 tasks.get(workers.get(i)).add(task);
             }
         }
@@ -59,7 +59,8 @@
         {
             runs.add(new RunningRun(workerTasks.get(i).name(), 1, "", percents[i], 0));
         }
-        cellState.applyHeartbeat(workers.get(worker), TestJobs.answer(runs, List.of()), 0, clock.get());
+        cellState.applyHeartbeat(workers.get(worker), TestJobs.heartbeatReply(runs, List.of()), 0,
+                clock.get());
     }
 
     private void heartbeatFromNormalWorkers(int... percents)
@@ -79,7 +80,7 @@
         heartbeat(0, 8, 9);
         Effects effects = guard.check(clock.get());
         assertThat(effects.stops()).hasSize(2);
-        assertThat(effects.stops().getFirst().slot()).isSameInstanceAs(workers.get(0));
+        assertThat(effects.stops().getFirst().worker()).isSameInstanceAs(workers.get(0));
         assertThat(workers.get(0).health().isAvoided(clock.get())).isTrue();
         assertThat(workers.get(1).health().isAvoided(clock.get())).isFalse();
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/TestJobs.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/TestJobs.java
@@ -41,7 +41,7 @@
     }
 
     /** Waits until a condition holds; returns false if it does not hold within the given time. */
-    static boolean within(long millis, BooleanSupplier condition) throws InterruptedException
+    static boolean waitUntil(long millis, BooleanSupplier condition) throws InterruptedException
     {
         long end = SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(millis);
         while (!condition.getAsBoolean() && SteadyClock.nanos() < end)
@@ -85,27 +85,27 @@
                 new ComputeResources(0, cpu, 32_768, 0), Set.of("a", "r1-1"), "r1-1");
     }
 
-    static HeartbeatReply answer(List<RunningRun> running, List<EndedRun> ended)
+    static HeartbeatReply heartbeatReply(List<RunningRun> running, List<EndedRun> ended)
     {
         return new HeartbeatReply(CommandResult.DONE, 1_000, running, ended);
     }
 
-    static RunningRun running(Task task)
+    static RunningRun runningRun(Task task)
     {
-        return running(task, task.run());
+        return runningRun(task, task.run());
     }
 
-    static RunningRun running(Task task, int run)
+    static RunningRun runningRun(Task task, int run)
     {
         return new RunningRun(task.name(), run, "", 10, 0);
     }
 
-    static EndedRun ended(long number, Task task, RunEnd end)
+    static EndedRun endedRun(long number, Task task, RunEnd end)
     {
-        return ended(number, task, task.run(), end);
+        return endedRun(number, task, task.run(), end);
     }
 
-    static EndedRun ended(long number, Task task, int run, RunEnd end)
+    static EndedRun endedRun(long number, Task task, int run, RunEnd end)
     {
         return new EndedRun(number, task.name(), run, end, "");
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/UnconfirmedTermTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/UnconfirmedTermTest.java
@@ -36,7 +36,7 @@
     {
         worker = platform.addWorker("w1");
         term = new TestTerm(platform, "box");
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.looks() > 1)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.heartbeatCount() > 1)).isTrue();
     }
 
     @AfterEach
@@ -49,9 +49,8 @@
     {
         term.stopConfirming();
         long maxUnconfirmedMillis = TimeUnit.NANOSECONDS.toMillis(OwnerLease.MAX_UNCONFIRMED_NANOS);
-        assertThat(
-                TestJobs.within(maxUnconfirmedMillis + TIMEOUT_MILLIS, () -> !term.lease().maySendCommands()))
-                .isTrue();
+        assertThat(TestJobs.waitUntil(maxUnconfirmedMillis + TIMEOUT_MILLIS,
+                () -> !term.lease().maySendCommands())).isTrue();
     }
 
     private void acceptJob() throws InterruptedException
@@ -61,9 +60,9 @@
 
     private void assertTaskRuns() throws InterruptedException
     {
-        boolean isRunning = TestJobs.within(TIMEOUT_MILLIS, () -> worker.isRunning(TASK));
-        assertWithMessage("started " + worker.begun() + ", heartbeats " + worker.looks()).that(isRunning)
-                .isTrue();
+        boolean isRunning = TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.isRunning(TASK));
+        assertWithMessage("started " + worker.startedRuns() + ", heartbeats " + worker.heartbeatCount())
+                .that(isRunning).isTrue();
         assertThat(term.lease().hasEnded()).isFalse();
     }
 
@@ -73,9 +72,9 @@
     {
         awaitUnconfirmed();
         Thread.sleep(UNCONFIRMED_MILLIS);
-        int heartbeats = worker.looks();
+        int heartbeats = worker.heartbeatCount();
         term.startConfirming();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.looks() > heartbeats)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.heartbeatCount() > heartbeats)).isTrue();
         assertThat(term.lease().hasEnded()).isFalse();
     }
 
@@ -89,7 +88,7 @@
         awaitUnconfirmed();
         acceptJob();
         Thread.sleep(UNCONFIRMED_MILLIS);
-        assertThat(worker.startsAsked()).isEqualTo(0);
+        assertThat(worker.startCount()).isEqualTo(0);
         term.startConfirming();
         assertTaskRuns();
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/UnresponsiveWorkerGuardTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/UnresponsiveWorkerGuardTest.java
@@ -36,15 +36,15 @@
     @BeforeEach
     void listWorkers()
     {
-        cellState.list(TestJobs.worker("w1", 4_000)).setLeaseHeld(true);
-        cellState.list(TestJobs.worker("w2", 4_000)).setLeaseHeld(true);
+        cellState.updateWorker(TestJobs.worker("w1", 4_000)).setLeaseHeld(true);
+        cellState.updateWorker(TestJobs.worker("w2", 4_000)).setLeaseHeld(true);
     }
 
     private Planner.Start startOf(StepSpec step)
     {
         cellState.accept(TestJobs.job(TestJobs.ID, step), 1, null, 0);
         Planner.Start start = plan().getFirst();
-        start.task().begun(clock.get());
+        start.task().markRunning(clock.get());
         start.task().settle(clock.get());
         return start;
     }
@@ -63,7 +63,8 @@
 
     private Effects endRun(TrackedWorker worker, Task task, int run, RunEnd outcome)
     {
-        HeartbeatReply reply = TestJobs.answer(List.of(), List.of(TestJobs.ended(1, task, run, outcome)));
+        HeartbeatReply reply = TestJobs.heartbeatReply(List.of(),
+                List.of(TestJobs.endedRun(1, task, run, outcome)));
         return cellState.applyHeartbeat(worker, reply, 0, clock.addAndGet(1_000_000));
     }
 
@@ -71,9 +72,9 @@
     void startsDuplicateRunElsewhere()
     {
         Planner.Start start = startOf(SPECULATIVE);
-        assertThat(becomeUnresponsive(start.slot())).hasSize(1);
+        assertThat(becomeUnresponsive(start.worker())).hasSize(1);
         Planner.Start duplicate = plan().getFirst();
-        assertThat(duplicate.slot()).isNotSameInstanceAs(start.slot());
+        assertThat(duplicate.worker()).isNotSameInstanceAs(start.worker());
         assertThat(duplicate.run()).isEqualTo(2);
     }
 
@@ -81,7 +82,7 @@
     void keepsRunOfNonSpeculativeTask()
     {
         Planner.Start start = startOf(TestJobs.step(1, 4_000, List.of()));
-        assertThat(becomeUnresponsive(start.slot())).isEmpty();
+        assertThat(becomeUnresponsive(start.worker())).isEmpty();
         assertThat(plan()).isEmpty();
     }
 
@@ -90,16 +91,16 @@
     {
         cellState.accept(TestJobs.job(TestJobs.ID, SPECULATIVE), 1, null, 0);
         Planner.Start start = plan().getFirst();
-        assertThat(becomeUnresponsive(start.slot())).isEmpty();
-        assertThat(start.task().occupies()).isTrue();
+        assertThat(becomeUnresponsive(start.worker())).isEmpty();
+        assertThat(start.task().isOnWorker()).isTrue();
     }
 
     @Test
     void heartbeatResetsUnresponsiveTime()
     {
         Planner.Start start = startOf(SPECULATIVE);
-        start.slot().recordMissedHeartbeat(clock.get(), false);
-        start.slot().recordHeartbeat(clock.addAndGet(UNRESPONSIVE_NANOS / 2));
+        start.worker().recordMissedHeartbeat(clock.get(), false);
+        start.worker().recordHeartbeat(clock.addAndGet(UNRESPONSIVE_NANOS / 2));
         assertThat(guard.check(clock.addAndGet(UNRESPONSIVE_NANOS))).isEmpty();
     }
 
@@ -107,16 +108,16 @@
     void firstSuccessfulRunStopsTheDuplicate()
     {
         Planner.Start start = startOf(SPECULATIVE);
-        becomeUnresponsive(start.slot());
+        becomeUnresponsive(start.worker());
         Planner.Start duplicate = plan().getFirst();
         Task task = duplicate.task();
-        task.begun(clock.get());
+        task.markRunning(clock.get());
         task.settle(clock.get());
-        Effects effects = endRun(start.slot(), task, 1, RunEnd.DONE);
+        Effects effects = endRun(start.worker(), task, 1, RunEnd.DONE);
         assertThat(effects.stops()).hasSize(1);
         assertThat(task.progress().done()).isTrue();
         assertThat(task.step().job().state()).isEqualTo(JobState.RUNNING);
-        endRun(duplicate.slot(), task, 2, RunEnd.STOPPED);
+        endRun(duplicate.worker(), task, 2, RunEnd.STOPPED);
         assertThat(task.step().job().state()).isEqualTo(JobState.COMPLETED);
         assertThat(plan()).isEmpty();
     }
@@ -126,8 +127,8 @@
     {
         Planner.Start start = startOf(SPECULATIVE);
         Task task = start.task();
-        becomeUnresponsive(start.slot());
-        endRun(start.slot(), task, 1, RunEnd.DONE);
+        becomeUnresponsive(start.worker());
+        endRun(start.worker(), task, 1, RunEnd.DONE);
         assertThat(task.step().job().state()).isEqualTo(JobState.COMPLETED);
     }
 
@@ -136,9 +137,9 @@
     {
         Planner.Start start = startOf(SPECULATIVE);
         Task task = start.task();
-        becomeUnresponsive(start.slot());
-        endRun(start.slot(), task, 1, RunEnd.FAILED);
-        endRun(start.slot(), task, 1, RunEnd.FAILED);
+        becomeUnresponsive(start.worker());
+        endRun(start.worker(), task, 1, RunEnd.FAILED);
+        endRun(start.worker(), task, 1, RunEnd.FAILED);
         assertThat(task.failures()).isEqualTo(1);
     }
 
@@ -146,11 +147,12 @@
     void stopsAbandonedRunBeforeItsWorkerAcceptsStarts()
     {
         Planner.Start start = startOf(SPECULATIVE);
-        becomeUnresponsive(start.slot());
+        becomeUnresponsive(start.worker());
         plan();
-        HeartbeatReply reply = TestJobs.answer(List.of(TestJobs.running(start.task(), 1)), List.of());
-        Effects effects = cellState.applyHeartbeat(start.slot(), reply, 0, clock.addAndGet(1_000_000));
+        HeartbeatReply reply = TestJobs.heartbeatReply(List.of(TestJobs.runningRun(start.task(), 1)),
+                List.of());
+        Effects effects = cellState.applyHeartbeat(start.worker(), reply, 0, clock.addAndGet(1_000_000));
         assertThat(effects.stops()).hasSize(1);
-        assertThat(start.slot().acceptsStarts()).isFalse();
+        assertThat(start.worker().acceptsStarts()).isFalse();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/WeightRatesTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/WeightLimiterTest.java
@@ -20,11 +20,11 @@
 import org.junit.jupiter.api.Test;
 
 /** Guards against a customer that exceeds its weight delaying the jobs of others in a full cell. */
-class WeightRatesTest
+class WeightLimiterTest
 {
     private static final long NOW_NANOS = TimeUnit.SECONDS.toNanos(1_000);
     private static final int TASK_CPU = 1_000;
-    private static final int SLOTS = 4;
+    private static final int MAX_RUNNING_TASKS = 4;
 
     private final CellState cellState = new CellState(() -> NOW_NANOS, 0);
     private final Planner planner = new Planner(cellState, new NoTickets(), new WaitingFirstScore(0.5));
@@ -61,7 +61,7 @@
 
     private void listWorker(int tasks)
     {
-        cellState.list(TestJobs.worker("w1", tasks * TASK_CPU)).recordHeartbeat(NOW_NANOS);
+        cellState.updateWorker(TestJobs.worker("w1", tasks * TASK_CPU)).recordHeartbeat(NOW_NANOS);
     }
 
     @Test
@@ -74,7 +74,7 @@
         }
         accept("quiet", 200);
         accept("quiet", 210);
-        listWorker(SLOTS);
+        listWorker(MAX_RUNNING_TASKS);
         plan();
         assertThat(startedCustomers).containsExactly("loud", "loud", "quiet", "quiet");
     }
@@ -83,13 +83,13 @@
     void idleCapacityIsUsedBeyondWeight()
     {
         configure(2);
-        for (int i = 0; i < SLOTS; i++)
+        for (int i = 0; i < MAX_RUNNING_TASKS; i++)
         {
             accept("loud", i);
         }
-        listWorker(SLOTS);
+        listWorker(MAX_RUNNING_TASKS);
         plan();
-        assertThat(startedCustomers).hasSize(SLOTS);
+        assertThat(startedCustomers).hasSize(MAX_RUNNING_TASKS);
     }
 
     @Test
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/WorkerGuardsTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/WorkerGuardsTest.java
@@ -27,7 +27,7 @@
 {
     private final AtomicLong clock = new AtomicLong(TimeUnit.SECONDS.toNanos(1_000));
     private final CellState cellState = new CellState(clock::get, 0);
-    private final TrackedWorker worker = cellState.list(TestJobs.worker("w1", 64_000));
+    private final TrackedWorker worker = cellState.updateWorker(TestJobs.worker("w1", 64_000));
 
     private static StepSpec longRunning(int count, long target, boolean bestEffort)
     {
@@ -45,9 +45,9 @@
     {
         Job job = new Job(TestJobs.job(id, step), 1);
         cellState.accept(job.record(), 1, null, 0);
-        Task task = cellState.find(id + ".0.0.0");
-        task.order(worker, 1, clock.get());
-        task.begun(clock.get());
+        Task task = cellState.findTask(id + ".0.0.0");
+        task.assign(worker, 1, clock.get());
+        task.markRunning(clock.get());
         task.settle(clock.get());
         return task;
     }
@@ -55,15 +55,15 @@
     private void heartbeat(Task task, int percent, double gauge)
     {
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(500));
-        cellState.applyHeartbeat(worker,
-                TestJobs.answer(List.of(new RunningRun(task.name(), 1, "", percent, gauge)), List.of()), 0,
-                clock.get());
+        cellState.applyHeartbeat(worker, TestJobs.heartbeatReply(
+                List.of(new RunningRun(task.name(), 1, "", percent, gauge)), List.of()), 0, clock.get());
     }
 
     private void drain(long remainingMillis)
     {
-        cellState.list(new WorkerEntry(WorkerIncarnation.withUnknownStart("w1"), "service", "127.0.0.1:1",
-                "hall", true, remainingMillis, new ComputeResources(0, 64_000, 32_768, 0), Set.of(), "r"));
+        cellState.updateWorker(
+                new WorkerEntry(WorkerIncarnation.withUnknownStart("w1"), "service", "127.0.0.1:1", "hall",
+                        true, remainingMillis, new ComputeResources(0, 64_000, 32_768, 0), Set.of(), "r"));
     }
 
     @Test
@@ -129,11 +129,11 @@
     void wholeGangIsStoppedWhenOneMemberStalls()
     {
         cellState.accept(TestJobs.job(TestJobs.ID, TestJobs.gang(2, 100)), 1, null, 0);
-        Step step = cellState.find(TestJobs.ID + ".0.0.0").step();
+        Step step = cellState.findTask(TestJobs.ID + ".0.0.0").step();
         for (Task task : step.tasks())
         {
-            task.order(worker, 1, clock.get());
-            task.begun(clock.get());
+            task.assign(worker, 1, clock.get());
+            task.markRunning(clock.get());
         }
         clock.addAndGet(TimeUnit.SECONDS.toNanos(4));
         worker.recordHeartbeat(clock.get());
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/WorkerIncarnationsTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/WorkerIncarnationsTest.java
@@ -56,14 +56,14 @@
     @Test
     void firstReplyOfNewIncarnationEndsThePreviousOne() throws InterruptedException
     {
-        platform.addLife(WORKER, (byte) 1, first);
+        platform.addIncarnation(WORKER, (byte) 1, first);
         term = new TestTerm(platform, "box");
         accept();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.isRunning(TASK))).isTrue();
-        first.setSilent(true);
-        platform.addLife(WORKER, (byte) 2, second);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> second.isRunning(TASK))).isTrue();
-        assertThat(second.begun()).containsExactly(TASK + "/2");
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> first.isRunning(TASK))).isTrue();
+        first.setUnresponsive(true);
+        platform.addIncarnation(WORKER, (byte) 2, second);
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> second.isRunning(TASK))).isTrue();
+        assertThat(second.startedRuns()).containsExactly(TASK + "/2");
     }
 
     /** The reply is delayed until the next incarnation of the worker is listed. */
@@ -71,17 +71,17 @@
     void lateReplyOfOldIncarnationDoesNotEndTheNewOne() throws InterruptedException
     {
         first.delayHeartbeatReplies(true);
-        platform.addLife(WORKER, (byte) 1, first);
+        platform.addIncarnation(WORKER, (byte) 1, first);
         term = new TestTerm(platform, "box");
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.looks() == 1)).isTrue();
-        platform.addLife(WORKER, (byte) 2, second);
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> first.heartbeatCount() == 1)).isTrue();
+        platform.addIncarnation(WORKER, (byte) 2, second);
         accept();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> second.isRunning(TASK))).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> second.isRunning(TASK))).isTrue();
         first.delayHeartbeatReplies(false);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.looks() > 1)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> first.heartbeatCount() > 1)).isTrue();
         Thread.sleep(LISTING_MILLIS);
         assertThat(second.isClosed()).isFalse();
-        assertThat(second.begun()).containsExactly(TASK + "/1");
+        assertThat(second.startedRuns()).containsExactly(TASK + "/1");
     }
 
     /**
@@ -92,20 +92,20 @@
     void rejectsStartThatArrivesAtTheNextIncarnation() throws InterruptedException
     {
         first.loseStarts(1);
-        platform.addLife(WORKER, (byte) 1, first);
+        platform.addIncarnation(WORKER, (byte) 1, first);
         term = new TestTerm(platform, "box");
         accept();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.lostStart() != null)).isTrue();
-        first.endLife();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> first.lostStart() != null)).isTrue();
+        first.endIncarnation();
         second.refuseStops(1);
         FakeWorker other = platform.addWorker("w2");
-        platform.addLife(WORKER, (byte) 2, second, NO_CAPACITY);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> other.isRunning(TASK))).isTrue();
-        other.end(TASK, RunEnd.DONE);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> second.looks() > 1)).isTrue();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> second.stopped().contains(TASK))).isTrue();
+        platform.addIncarnation(WORKER, (byte) 2, second, NO_CAPACITY);
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> other.isRunning(TASK))).isTrue();
+        other.endRun(TASK, RunEnd.DONE);
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> second.heartbeatCount() > 1)).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> second.stoppedTasks().contains(TASK))).isTrue();
         assertThat(second.deliver(first.lostStart())).isEqualTo(CommandResult.OLD_RUN);
-        assertThat(second.begun()).isEmpty();
+        assertThat(second.startedRuns()).isEmpty();
     }
 
     /**
@@ -121,12 +121,12 @@
         accept();
         platform.store().commit(
                 new StoreTransaction().put(JobKeys.progress(TestJobs.ID), JobCodec.writeProgress(recorded)));
-        first.runs(TASK, 1);
-        platform.addLife(WORKER, (byte) 1, first);
+        first.addRun(TASK, 1);
+        platform.addIncarnation(WORKER, (byte) 1, first);
         FakeWorker other = platform.addWorker("w2");
         term = new TestTerm(platform, "box");
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> first.stopped().contains(TASK))).isTrue();
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> other.isRunning(TASK) || first.isRunning(TASK)))
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> first.stoppedTasks().contains(TASK))).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> other.isRunning(TASK) || first.isRunning(TASK)))
                 .isFalse();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/WorkerSessionsTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/WorkerSessionsTest.java
@@ -55,24 +55,24 @@
     {
         term = new TestTerm(platform, "box");
         accept(FIRST_JOB);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.isRunning(FIRST_TASK))).isTrue();
-        platform.spoil("w1");
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.isRunning(FIRST_TASK))).isTrue();
+        platform.writeInvalidEntry("w1");
         Thread.sleep(LISTING_MILLIS);
         accept(SECOND_JOB);
-        assertThat(TestJobs.within(LISTING_MILLIS, () -> worker.isRunning(SECOND_TASK))).isFalse();
-        worker.end(FIRST_TASK, RunEnd.DONE);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.unnoted() == 0)).isTrue();
+        assertThat(TestJobs.waitUntil(LISTING_MILLIS, () -> worker.isRunning(SECOND_TASK))).isFalse();
+        worker.endRun(FIRST_TASK, RunEnd.DONE);
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.unacknowledgedEndCount() == 0)).isTrue();
         platform.list("w1");
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.isRunning(SECOND_TASK))).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.isRunning(SECOND_TASK))).isTrue();
     }
 
     @Test
     void invalidEntryDoesNotAffectOtherWorkers() throws InterruptedException
     {
-        platform.spoil("w0");
+        platform.writeInvalidEntry("w0");
         term = new TestTerm(platform, "box");
         accept(FIRST_JOB);
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.isRunning(FIRST_TASK))).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.isRunning(FIRST_TASK))).isTrue();
     }
 
     /** The runs of such a job are unknown, so none of it is started; other jobs continue. */
@@ -83,7 +83,7 @@
         accept(SECOND_JOB);
         platform.store().commit(new StoreTransaction().put(JobKeys.progress(FIRST_JOB), new byte[]{'{'}));
         term = new TestTerm(platform, "box");
-        assertThat(TestJobs.within(TIMEOUT_MILLIS, () -> worker.isRunning(SECOND_TASK))).isTrue();
+        assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.isRunning(SECOND_TASK))).isTrue();
         assertThat(worker.isRunning(FIRST_TASK)).isFalse();
     }
 }
