--- a/gaugehollow/src/main/java/org/gaugehollow/entry/Answers.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/Answers.java
@@ -17,7 +17,7 @@
 /** Makes and reads the answers that travel between boxes. */
 final class Answers
 {
-    private static final String UNTYPED = "application/octet-stream";
+    private static final String DEFAULT_CONTENT_TYPE = "application/octet-stream";
 
     private Answers()
     {
@@ -25,22 +25,22 @@
 
     static Answer answered(HttpReply reply, String task, String box, String upstream)
     {
-        String type = reply.headers().get(HttpHeaderNames.CONTENT_TYPE, UNTYPED);
+        String type = reply.headers().get(HttpHeaderNames.CONTENT_TYPE, DEFAULT_CONTENT_TYPE);
         return Answer.newBuilder().setCode(ResultCode.OK.number()).setStatus(reply.status())
                 .setContentType(type).setBody(ByteString.copyFrom(reply.body())).setTask(task).setBox(box)
                 .setUpstream(upstream).build();
     }
 
-    static Answer refused(ResultCode code, String message, String task, String box)
+    static Answer rejected(ResultCode code, String message, String task, String box)
     {
         return Answer.newBuilder().setCode(code.number()).setStatus(code.httpStatus())
                 .setMessage(String.valueOf(message)).setTask(task).setBox(box)
                 .setRetryAfterMillis(code.retryAfterMillis()).build();
     }
 
-    static Answer refused(GaugehollowException e, String task, String box)
+    static Answer rejected(GaugehollowException e, String task, String box)
     {
-        return refused(e.code(), e.getMessage(), task, box);
+        return rejected(e.code(), e.getMessage(), task, box);
     }
 
     static ResultCode codeOf(Answer answer)
@@ -48,7 +48,7 @@
         return ResultCode.ofNumber(answer.getCode());
     }
 
-    static boolean notRun(Answer answer)
+    static boolean isNotRun(Answer answer)
     {
         return codeOf(answer).outcome() == Outcome.NOT_RUN;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/CallerApi.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/CallerApi.java
@@ -32,17 +32,17 @@
 {
     private static final String PREFIX = "/v1/workloads/";
     private static final String SUFFIX = "/requests";
-    private static final String UNTYPED = "application/octet-stream";
-    private static final int LONGEST_KEY = 200;
+    private static final String DEFAULT_CONTENT_TYPE = "application/octet-stream";
+    private static final int MAX_KEY_LENGTH = 200;
     private static final int DEFAULT_TIMEOUT_MILLIS = 5_000;
-    private static final int RADIX = 36;
+    private static final int TASK_NUMBER_RADIX = 36;
 
     private final String box;
     private final RequestRouter router;
     private final AtomicReference<ActiveConfig> config;
     private final Metrics metrics;
     private final EventLog events;
-    private final AtomicLong lastTask = new AtomicLong();
+    private final AtomicLong lastTaskNumber = new AtomicLong();
 
     CallerApi(String box, RequestRouter router, AtomicReference<ActiveConfig> config, Metrics metrics,
             EventLog events)
@@ -58,21 +58,21 @@
     public void handle(HttpExchange exchange) throws InterruptedException
     {
         HttpMessage message = exchange.request();
-        String workload = workloadOf(message);
-        CallerRequest request = requestOf(message, workload);
+        String workload = parseWorkload(message);
+        CallerRequest request = parseRequest(message, workload);
         Answer answer = router.route(request);
-        String taskClass = spec(workload) == null ? "none" : spec(workload).taskClass().label();
+        String taskClass = findSpec(workload) == null ? "none" : findSpec(workload).taskClass().label();
         metrics.results().labelValues(taskClass, Integer.toString(answer.getCode())).inc();
         events.record(EventType.TASK_ENDED, request.task(), Answers.codeOf(answer).name());
-        exchange.respond(replyOf(answer, request));
+        exchange.respond(toReply(answer, request));
     }
 
-    private static String workloadOf(HttpMessage message)
+    private static String parseWorkload(HttpMessage message)
     {
         String path = message.path();
-        boolean ours = path.startsWith(PREFIX) && path.endsWith(SUFFIX)
+        boolean matches = path.startsWith(PREFIX) && path.endsWith(SUFFIX)
                 && path.length() > PREFIX.length() + SUFFIX.length();
-        if (!ours || !"POST".equals(message.method()))
+        if (!matches || !"POST".equals(message.method()))
         {
             throw new GaugehollowException(ResultCode.UNKNOWN_PATH,
                     "expected POST /v1/workloads/NAME/requests");
@@ -80,52 +80,52 @@
         return path.substring(PREFIX.length(), path.length() - SUFFIX.length());
     }
 
-    private CallerRequest requestOf(HttpMessage message, String workload)
+    private CallerRequest parseRequest(HttpMessage message, String workload)
     {
         String team = message.header(UpstreamHeaders.TEAM)
                 .orElseThrow(() -> new GaugehollowException(ResultCode.BAD_REQUEST,
                         "header Gaugehollow-Team is required"));
         String key = message.header(UpstreamHeaders.KEY).orElse("");
-        if (key.length() > LONGEST_KEY || key.chars().anyMatch(c -> c < ' ' || c > '~'))
+        if (key.length() > MAX_KEY_LENGTH || key.chars().anyMatch(c -> c < ' ' || c > '~'))
         {
             throw new GaugehollowException(ResultCode.BAD_REQUEST,
-                    "Idempotency-Key may have at most " + LONGEST_KEY + " printable ASCII characters");
+                    "Idempotency-Key may have at most " + MAX_KEY_LENGTH + " printable ASCII characters");
         }
-        WorkloadSpec spec = spec(workload);
+        WorkloadSpec spec = findSpec(workload);
         long fallback = spec == null ? DEFAULT_TIMEOUT_MILLIS : spec.timeoutMillis();
-        long timeout = number(message, UpstreamHeaders.TIMEOUT, fallback);
+        long timeout = parseNumber(message, UpstreamHeaders.TIMEOUT, fallback);
         if (timeout < 1 || timeout > TimeUnit.MINUTES.toMillis(10))
         {
             throw new GaugehollowException(ResultCode.BAD_REQUEST,
                     "Gaugehollow-Timeout-Millis: expected 1 to 600000");
         }
         long deadline = SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(timeout);
-        String task = box + '-' + Long.toString(lastTask.incrementAndGet(), RADIX);
-        return new CallerRequest(task, team, workload, key, issuedAt(message, key), deadline,
-                message.header(HttpHeaderNames.CONTENT_TYPE.toString()).orElse(UNTYPED), message.body(), 0,
-                number(message, UpstreamHeaders.ATTEMPT, 0) == 1);
+        String task = box + '-' + Long.toString(lastTaskNumber.incrementAndGet(), TASK_NUMBER_RADIX);
+        return new CallerRequest(task, team, workload, key, parseKeyIssuedAt(message, key), deadline,
+                message.header(HttpHeaderNames.CONTENT_TYPE.toString()).orElse(DEFAULT_CONTENT_TYPE),
+                message.body(), 0, parseNumber(message, UpstreamHeaders.ATTEMPT, 0) == 1);
     }
 
-    private WorkloadSpec spec(String workload)
+    private WorkloadSpec findSpec(String workload)
     {
         ActiveConfig current = config.get();
         return current == null ? null : current.workload(workload).orElse(null);
     }
 
     /** The time that the caller gives, or the one inside a version 7 UUID, or 0. */
-    private static long issuedAt(HttpMessage message, String key)
+    private static long parseKeyIssuedAt(HttpMessage message, String key)
     {
-        long inside = KeyTime.ofUuid(key);
-        long given = number(message, UpstreamHeaders.KEY_ISSUED, inside);
-        if (given < 0)
+        long embedded = KeyTime.fromUuid(key);
+        long issuedAt = parseNumber(message, UpstreamHeaders.KEY_ISSUED, embedded);
+        if (issuedAt < 0)
         {
             throw new GaugehollowException(ResultCode.BAD_REQUEST,
                     "Gaugehollow-Key-Issued-Millis must not be negative");
         }
-        return given;
+        return issuedAt;
     }
 
-    private static long number(HttpMessage message, String header, long fallback)
+    private static long parseNumber(HttpMessage message, String header, long fallback)
     {
         try
         {
@@ -137,7 +137,7 @@
         }
     }
 
-    private HttpReply replyOf(Answer answer, CallerRequest request)
+    private HttpReply toReply(Answer answer, CallerRequest request)
     {
         ResultCode code = Answers.codeOf(answer);
         HttpReply reply = code.outcome() == Outcome.ANSWERED
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/CallerRequest.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/CallerRequest.java
@@ -21,10 +21,10 @@
  * @param contentType the body's media type
  * @param body the body
  * @param hops how many boxes passed it on
- * @param firstAsk whether the caller says that it never sent the key before
+ * @param firstAttempt whether the caller says that it never sent the key before
  */
 record CallerRequest(String task, String team, String workload, String key, long keyIssuedAt,
-        long deadlineNanos, String contentType, byte[] body, int hops, boolean firstAsk)
+        long deadlineNanos, String contentType, byte[] body, int hops, boolean firstAttempt)
 {
     boolean hasKey()
     {
@@ -36,14 +36,14 @@
         return Math.max(0, TimeUnit.NANOSECONDS.toMillis(deadlineNanos - SteadyClock.nanos()));
     }
 
-    boolean expired()
+    boolean isExpired()
     {
         return deadlineNanos - SteadyClock.nanos() <= 0;
     }
 
-    CallerRequest withDeadline(long nanos)
+    CallerRequest withDeadline(long newDeadlineNanos)
     {
-        return new CallerRequest(task, team, workload, key, keyIssuedAt, nanos, contentType, body, hops,
-                firstAsk);
+        return new CallerRequest(task, team, workload, key, keyIssuedAt, newDeadlineNanos, contentType, body,
+                hops, firstAttempt);
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/EntryBox.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/EntryBox.java
@@ -74,14 +74,14 @@
  */
 public final class EntryBox implements AutoCloseable
 {
-    private static final int SUFFIX_LENGTH = 6;
-    private static final int MILLIS = 1_000;
+    private static final int ID_SUFFIX_LENGTH = 6;
+    private static final int MILLIS_PER_SECOND = 1_000;
     private static final int BURST_SECONDS = 2;
     private static final int PERCENT = 100;
-    private static final long MATCH_MILLIS = 200;
-    private static final long FORGET_MILLIS = 1_000;
-    private static final long READY_GRACE_MILLIS = 300;
-    private static final long DRAIN_STEP_MILLIS = 20;
+    private static final long RECONCILE_INTERVAL_MILLIS = 200;
+    private static final long EVICTION_INTERVAL_MILLIS = 1_000;
+    private static final long READINESS_GRACE_MILLIS = 300;
+    private static final long DRAIN_POLL_MILLIS = 20;
 
     private final EntrySettings settings;
     private final BoxIdentity self;
@@ -91,30 +91,30 @@
     private final Supervisor root;
     private final PlatformStore store;
     private final ConfigCache config = new ConfigCache();
-    private final PolicyRegistry registry = new PolicyRegistry();
-    private final AtomicReference<ActiveConfig> active = new AtomicReference<>();
-    private final AssignmentMaps halls;
-    private final BlockingQueue<AssignmentMap> newerMaps = new LinkedBlockingQueue<>();
+    private final PolicyRegistry policyRegistry = new PolicyRegistry();
+    private final AtomicReference<ActiveConfig> activeConfig = new AtomicReference<>();
+    private final AssignmentMaps assignmentMaps;
+    private final BlockingQueue<AssignmentMap> mapUpdates = new LinkedBlockingQueue<>();
     private final Rights rights;
-    private final StoreLiveness evidence;
+    private final StoreLiveness storeLiveness;
     private final RosterCache roster;
     private final PeerDirectory directory;
     private final PeerMonitor peers;
     private final StoreSession session;
-    private final MapReconciler mapKeeper;
+    private final MapReconciler mapReconciler;
     private final MapStore mapStore;
     private final PlacementEngine engine;
-    private final WorkerKeeper workers;
+    private final UpstreamManager upstreams;
     private final KeyTable keys;
     private final ReplicaTable replicas;
-    private final KeyOwnership ownership;
-    private final GiveAway giveAway;
-    private final PeerCalls peerCalls;
+    private final KeyOwnership keyOwnership;
+    private final Rebalancer rebalancer;
+    private final PeerCallHandler peerCallHandler;
     private final HttpServer callerServer;
     private final HttpServer operatorServer;
     private final PeerServer peerServer;
     private final AtomicBoolean leaving = new AtomicBoolean();
-    private final AtomicBoolean stopped = new AtomicBoolean();
+    private final AtomicBoolean closed = new AtomicBoolean();
 
     /**
      * Starts a box that reaches the platform by its usual protocols.
@@ -124,49 +124,54 @@
     public EntryBox(EntrySettings settings)
     {
         this.settings = settings;
-        String id = settings.box() + '~' + UUID.randomUUID().toString().substring(0, SUFFIX_LENGTH);
+        String id = settings.box() + '~' + UUID.randomUUID().toString().substring(0, ID_SUFFIX_LENGTH);
         this.self = new BoxIdentity(settings.box(), id, settings.hall(), settings.reachablePeerAddress());
         this.events = new EventLog(id, new HybridClock(System::currentTimeMillis), Optional.of(metrics));
         this.loops = new NetLoops(Optional.ofNullable(settings.sourceIp()));
         this.root = new Supervisor(id, events);
-        this.evidence = new StoreLiveness(id, SteadyClock::nanos);
+        this.storeLiveness = new StoreLiveness(id, SteadyClock::nanos);
         TimingSettings timing = settings.timing();
         this.store = openStore(settings.platform());
-        this.halls = new AssignmentMaps(self.hall(), config, events);
-        this.rights = new Rights((long) timing.leaseSeconds() * MILLIS - timing.leaseMarginMillis(),
+        this.assignmentMaps = new AssignmentMaps(self.hall(), config, events);
+        this.rights = new Rights(
+                (long) timing.leaseSeconds() * MILLIS_PER_SECOND - timing.leaseMarginMillis(),
                 timing.witnessMillis(), SteadyClock::nanos);
         this.roster = new RosterCache(self.hall(), openRoster(settings.platform()), this::isRelay,
                 timing.rosterMillis(), events);
         this.directory = new PeerDirectory(loops, events, metrics);
-        this.session = new StoreSession(self, store, rights, evidence, config, events, timing.leaseSeconds());
-        PeerMonitor.Parts parts = new PeerMonitor.Parts(self, halls, directory, config, roster, rights,
-                evidence, root.child("peers"), events);
-        this.peers = new PeerMonitor(parts, this::status, session::renewNow, timing.pingMillis(),
+        this.session = new StoreSession(self, store, rights, storeLiveness, config, events,
+                timing.leaseSeconds());
+        PeerMonitor.Parts parts = new PeerMonitor.Parts(self, assignmentMaps, directory, config, roster,
+                rights, storeLiveness, root.child("peers"), events);
+        this.peers = new PeerMonitor(parts, this::createStatus, session::renewNow, timing.pingMillis(),
                 timing.witnessMillis());
         this.mapStore = new MapStore(self.hall(), store, config, events);
-        this.mapKeeper = new MapReconciler(parts, store, mapStore, peers, timing.witnessMillis(),
+        this.mapReconciler = new MapReconciler(parts, store, mapStore, peers, timing.witnessMillis(),
                 timing.abandonSeconds());
-        this.engine = new PlacementEngine(engineLimits(settings.limits()), firstPolicies(),
+        this.engine = new PlacementEngine(engineLimits(settings.limits()), initialPolicies(),
                 SteadyClock::nanos);
-        this.workers = new WorkerKeeper(id, halls, roster, engine, rights, loops, root.child("workers"),
-                events);
+        this.upstreams = new UpstreamManager(id, assignmentMaps, roster, engine, rights, loops,
+                root.child("workers"), events);
         this.keys = new KeyTable(keyLimits(), System::currentTimeMillis);
         this.replicas = new ReplicaTable(id);
-        KeyReplicator copier = new KeyReplicator(self, halls, directory, keys);
-        this.ownership = new KeyOwnership(id, keys, replicas, copier, System::currentTimeMillis, events);
-        RequestSupport support = new RequestSupport(self, active, halls, rights, peers, directory,
-                new RetryBudget(settings.limits().retryPercent()), metrics, events);
-        this.giveAway = new GiveAway(support, mapStore, workers, keys, copier);
+        KeyReplicator replicator = new KeyReplicator(self, assignmentMaps, directory, keys);
+        this.keyOwnership = new KeyOwnership(id, keys, replicas, replicator, System::currentTimeMillis,
+                events);
+        RequestSupport support = new RequestSupport(self, activeConfig, assignmentMaps, rights, peers,
+                directory, new RetryBudget(settings.limits().retryPercent()), metrics, events);
+        this.rebalancer = new Rebalancer(support, mapStore, upstreams, keys, replicator);
         PlacementLog placements = new PlacementLog();
-        RequestRouter router = router(support, copier, placements);
-        this.peerCalls = new PeerCalls(this::status, evidence, config, roster, replicas, router);
-        this.peerServer = new PeerServer(loops, NetAddress.parse(settings.peerAddress()), events, peerCalls);
+        RequestRouter router = createRouter(support, replicator, placements);
+        this.peerCallHandler = new PeerCallHandler(this::createStatus, storeLiveness, config, roster,
+                replicas, router);
+        this.peerServer = new PeerServer(loops, NetAddress.parse(settings.peerAddress()), events,
+                peerCallHandler);
         this.callerServer = new HttpServer(loops, NetAddress.parse(settings.callerAddress()),
-                WorkloadSpec.LARGEST_BODY, events, new CallerApi(id, router, active, metrics, events));
-        ResourceApi resources = new ResourceApi(config, new ResourceStore(store, events), registry);
+                WorkloadSpec.LARGEST_BODY, events, new CallerApi(id, router, activeConfig, metrics, events));
+        ResourceApi resourceApi = new ResourceApi(config, new ResourceStore(store, events), policyRegistry);
         this.operatorServer = new HttpServer(loops, NetAddress.parse(settings.operatorAddress()),
                 WorkloadSpec.LARGEST_BODY, events,
-                new OperatorApi(resources, placements, events, metrics, this::report));
+                new OperatorApi(resourceApi, placements, events, metrics, this::createReport));
         addGauges();
         startTasks();
     }
@@ -201,18 +206,20 @@
                 settings.timing().clockSkewMillis(), settings.limits().records());
     }
 
-    private PolicyAssignments firstPolicies()
+    private PolicyAssignments initialPolicies()
     {
         PolicySpec waitingFirst = new PolicySpec(PolicyRegistry.WAITING_FIRST, null, null);
         return new PolicyAssignments(Map.of(), Map.of(),
-                new PolicyAssignments.Named("default", registry.create(waitingFirst)));
+                new PolicyAssignments.Named("default", policyRegistry.create(waitingFirst)));
     }
 
-    private RequestRouter router(RequestSupport support, KeyReplicator copier, PlacementLog placements)
+    private RequestRouter createRouter(RequestSupport support, KeyReplicator replicator,
+            PlacementLog placements)
     {
         PeerForwarder forwarder = new PeerForwarder(support);
-        LocalRunner runner = new LocalRunner(support, engine, workers, forwarder, placements);
-        return new RequestRouter(support, runner, new KeyedRunner(support, keys, copier, runner), forwarder);
+        LocalRunner runner = new LocalRunner(support, engine, upstreams, forwarder, placements);
+        return new RequestRouter(support, runner, new KeyedRunner(support, keys, replicator, runner),
+                forwarder);
     }
 
     private void addGauges()
@@ -227,32 +234,32 @@
 
     private void startTasks()
     {
-        halls.addListener(newerMaps::add);
-        config.addListener(applied -> rebuildConfig());
+        assignmentMaps.addListener(mapUpdates::add);
+        config.addListener(entries -> rebuildConfig());
         root.start("store-session", session);
         root.start("config", new StoreFollower(store, config, this::isRelay, events));
-        root.start("seeds", this::askSeeds);
+        root.start("seeds", this::pullStateFromSeeds);
         root.start("roster", roster);
-        root.start("map", mapKeeper);
-        root.start("match", this::matchUntilStopped);
-        root.start("give-away", giveAway);
+        root.start("map", mapReconciler);
+        root.start("match", this::reconcileUntilStopped);
+        root.start("give-away", rebalancer);
         root.start("pauses",
                 new PauseDetector(settings.timing().witnessMillis(), rights, session::renewNow, events));
-        root.start("forget", this::forgetUntilStopped);
+        root.start("forget", this::evictUntilStopped);
         events.record(EventType.PROCESS_STARTED, self.id(), "callers " + NetAddress.format(callerAddress())
                 + ", operators " + NetAddress.format(operatorAddress()) + ", peers " + self.peerAddress());
     }
 
     private boolean isRelay()
     {
-        return mapKeeper.isRelay();
+        return mapReconciler.isRelay();
     }
 
     private void rebuildConfig()
     {
-        ActiveConfig next = new ActiveConfig(config.list(""), registry,
-                (name, fault) -> events.record(EventType.CONFIG_BAD_ENTRY, name, fault));
-        active.set(next);
+        ActiveConfig next = new ActiveConfig(config.list(""), policyRegistry,
+                (name, error) -> events.record(EventType.CONFIG_BAD_ENTRY, name, error));
+        activeConfig.set(next);
         engine.usePolicies(next.policies());
         events.record(EventType.CONFIG_APPLIED, self.id(), "revision " + config.revision());
     }
@@ -260,9 +267,9 @@
     /**
      * A box that starts while the platform is silent takes everything from the boxes its settings name.
      */
-    private void askSeeds() throws InterruptedException
+    private void pullStateFromSeeds() throws InterruptedException
     {
-        while (halls.map().isEmpty())
+        while (assignmentMaps.map().isEmpty())
         {
             for (String seed : settings.seeds())
             {
@@ -280,41 +287,41 @@
     }
 
     /** Follows every map in order: a missed one would make copies of key records doubtful. */
-    private void matchUntilStopped() throws InterruptedException
+    private void reconcileUntilStopped() throws InterruptedException
     {
-        String had = heldRights();
+        String previous = rightsState();
         while (true)
         {
-            AssignmentMap map = newerMaps.poll(MATCH_MILLIS, TimeUnit.MILLISECONDS);
+            AssignmentMap map = mapUpdates.poll(RECONCILE_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
             while (map != null)
             {
-                ownership.applyMap(map);
+                keyOwnership.applyMap(map);
                 peers.syncWithMap();
-                map = newerMaps.poll();
+                map = mapUpdates.poll();
             }
-            workers.match();
+            upstreams.reconcile();
             peers.countConfirmations();
-            had = noteRights(had);
+            previous = recordRightsChange(previous);
         }
     }
 
-    private String noteRights(String had)
+    private String recordRightsChange(String previous)
     {
-        String has = heldRights();
-        if (!has.equals(had))
+        String current = rightsState();
+        if (!current.equals(previous))
         {
-            EventType type = switch (has)
+            EventType type = switch (current)
             {
                 case "frozen" -> EventType.RIGHTS_FROZEN;
                 case "valid" -> EventType.RIGHTS_GAINED;
                 default -> EventType.RIGHTS_LOST;
             };
-            events.record(type, self.id(), had + " before");
+            events.record(type, self.id(), previous + " before");
         }
-        return has;
+        return current;
     }
 
-    private String heldRights()
+    private String rightsState()
     {
         if (!rights.isValid())
         {
@@ -323,23 +330,23 @@
         return rights.isFrozen() ? "frozen" : "valid";
     }
 
-    private void forgetUntilStopped() throws InterruptedException
+    private void evictUntilStopped() throws InterruptedException
     {
         while (true)
         {
             keys.evictExpired();
             replicas.evictExpired(System.currentTimeMillis() - keyLimits().recordMillis());
-            Thread.sleep(FORGET_MILLIS);
+            Thread.sleep(EVICTION_INTERVAL_MILLIS);
         }
     }
 
-    private BoxStatus status()
+    private BoxStatus createStatus()
     {
         ComputeResources free = rights.isValid() ? engine.free() : ComputeResources.NONE;
-        StoreLiveness.Contact sighting = evidence.lastContact();
+        StoreLiveness.Contact contact = storeLiveness.lastContact();
         return BoxStatus.newBuilder().setBox(self.id()).setHall(self.hall())
-                .setStoreEvidenceBox(sighting.box()).setStoreEvidenceNumber(sighting.number())
-                .setStoreEvidenceAgeMillis(sighting.ageMillis()).setMapEpoch(halls.epoch())
+                .setStoreEvidenceBox(contact.box()).setStoreEvidenceNumber(contact.number())
+                .setStoreEvidenceAgeMillis(contact.ageMillis()).setMapEpoch(assignmentMaps.epoch())
                 .setConfigRevision(config.revision()).setRosterVersion(roster.version())
                 .setFreeSlots(free.slots()).setFreeCpuMillis(free.cpuMillis())
                 .setFreeMemoryMib(free.memoryMib()).setFreeAccelerators(free.accelerators())
@@ -347,20 +354,20 @@
                 .build();
     }
 
-    private BoxReport report()
+    private BoxReport createReport()
     {
         Map<String, Boolean> boxes = new HashMap<>();
-        halls.map().ifPresent(
+        assignmentMaps.map().ifPresent(
                 map -> map.boxes().keySet().forEach(box -> boxes.put(box, peers.isReachable(box))));
-        return new BoxReport(self.id(), self.hall(), ready(), heldRights(), session.storeAnswers(),
-                config.revision(), halls.epoch(), boxes,
-                halls.map().map(map -> map.workersOf(self.id())).orElse(List.of()), keys.owned().size(),
-                keys.recordCount(), engine.free(), engine.waiting());
+        return new BoxReport(self.id(), self.hall(), isReady(), rightsState(), session.storeAnswers(),
+                config.revision(), assignmentMaps.epoch(), boxes,
+                assignmentMaps.map().map(map -> map.workersOf(self.id())).orElse(List.of()),
+                keys.owned().size(), keys.recordCount(), engine.free(), engine.waiting());
     }
 
-    private boolean ready()
+    private boolean isReady()
     {
-        return !leaving.get() && active.get() != null && halls.map().isPresent();
+        return !leaving.get() && activeConfig.get() != null && assignmentMaps.map().isPresent();
     }
 
     /** @return this box's id */
@@ -395,22 +402,22 @@
         }
         events.record(EventType.PROCESS_STOPPING, self.id(), "");
         long deadline = SteadyClock.nanos() + TimeUnit.SECONDS.toNanos(settings.timing().drainSeconds());
-        quietly(session::announceLeaving);
-        giveAway.leave();
-        Thread.sleep(READY_GRACE_MILLIS);
-        while (!giveAway.nothingLeft() && hasPeers() && SteadyClock.nanos() - deadline < 0)
+        tryStep(session::announceLeaving);
+        rebalancer.startLeaving();
+        Thread.sleep(READINESS_GRACE_MILLIS);
+        while (!rebalancer.ownsNothing() && hasPeers() && SteadyClock.nanos() - deadline < 0)
         {
-            Thread.sleep(DRAIN_STEP_MILLIS);
+            Thread.sleep(DRAIN_POLL_MILLIS);
         }
         callerServer.stopAccepting();
-        while (callerServer.inFlight() + peerCalls.inFlight() > 0 && SteadyClock.nanos() - deadline < 0)
+        while (callerServer.inFlight() + peerCallHandler.inFlight() > 0 && SteadyClock.nanos() - deadline < 0)
         {
-            Thread.sleep(DRAIN_STEP_MILLIS);
+            Thread.sleep(DRAIN_POLL_MILLIS);
         }
-        int cutOff = callerServer.inFlight() + peerCalls.inFlight();
-        quietly(this::leaveMap);
-        quietly(session::end);
-        events.record(EventType.PROCESS_STOPPED, self.id(), cutOff + " requests in flight");
+        int unfinished = callerServer.inFlight() + peerCallHandler.inFlight();
+        tryStep(this::leaveMap);
+        tryStep(session::end);
+        events.record(EventType.PROCESS_STOPPED, self.id(), unfinished + " requests in flight");
         close();
     }
 
@@ -421,22 +428,22 @@
 
     private void leaveMap() throws InterruptedException
     {
-        Optional<AssignmentMaps.Versioned> known = halls.versioned();
-        boolean listed = known.isPresent() && known.get().map().boxes().containsKey(self.id());
-        if (listed && giveAway.nothingLeft())
+        Optional<AssignmentMaps.Versioned> current = assignmentMaps.versioned();
+        boolean listed = current.isPresent() && current.get().map().boxes().containsKey(self.id());
+        if (listed && rebalancer.ownsNothing())
         {
-            mapStore.change(known.get().revision(), MapPlanner.afterLeaving(known.get().map(), self.id()),
+            mapStore.change(current.get().revision(), MapPlanner.afterLeaving(current.get().map(), self.id()),
                     MapStore.noBoxes());
         }
     }
 
     /** A step of a planned stop. */
-    private interface Step
+    private interface ShutdownStep
     {
         void run() throws InterruptedException;
     }
 
-    private void quietly(Step step) throws InterruptedException
+    private void tryStep(ShutdownStep step) throws InterruptedException
     {
         try
         {
@@ -451,7 +458,7 @@
     @Override
     public void close()
     {
-        if (!stopped.compareAndSet(false, true))
+        if (!closed.compareAndSet(false, true))
         {
             return;
         }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/KeyTime.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/KeyTime.java
@@ -9,8 +9,8 @@
 /** Reads the time that some keys carry. */
 final class KeyTime
 {
-    private static final int TIME_ORDERED = 7;
-    private static final int TIME_SHIFT = 16;
+    private static final int UUID_VERSION = 7;
+    private static final int TIMESTAMP_SHIFT = 16;
     private static final int UUID_LENGTH = 36;
 
     private KeyTime()
@@ -18,7 +18,7 @@
     }
 
     /** The milliseconds since 1970 inside a version 7 UUID, or 0 for any other key. */
-    static long ofUuid(String key)
+    static long fromUuid(String key)
     {
         if (key.length() != UUID_LENGTH)
         {
@@ -27,7 +27,7 @@
         try
         {
             UUID uuid = UUID.fromString(key);
-            return uuid.version() == TIME_ORDERED ? uuid.getMostSignificantBits() >>> TIME_SHIFT : 0;
+            return uuid.version() == UUID_VERSION ? uuid.getMostSignificantBits() >>> TIMESTAMP_SHIFT : 0;
         }
         catch (IllegalArgumentException e)
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/KeyedRunner.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/KeyedRunner.java
@@ -27,20 +27,20 @@
  */
 final class KeyedRunner
 {
-    private static final int COPY_TRIES = 3;
-    private static final long COPY_PAUSE_MILLIS = 50;
-    private static final long BEYOND_DEADLINE_MILLIS = 2_000;
+    private static final int MAX_REPLICATION_ATTEMPTS = 3;
+    private static final long REPLICATION_RETRY_MILLIS = 50;
+    private static final long MIN_RUN_MILLIS = 2_000;
 
     private final RequestSupport support;
-    private final KeyTable table;
-    private final KeyReplicator copier;
+    private final KeyTable keyTable;
+    private final KeyReplicator replicator;
     private final LocalRunner runner;
 
-    KeyedRunner(RequestSupport support, KeyTable table, KeyReplicator copier, LocalRunner runner)
+    KeyedRunner(RequestSupport support, KeyTable keyTable, KeyReplicator replicator, LocalRunner runner)
     {
         this.support = support;
-        this.table = table;
-        this.copier = copier;
+        this.keyTable = keyTable;
+        this.replicator = replicator;
         this.runner = runner;
     }
 
@@ -49,56 +49,59 @@
      *
      * @return the answer of the one run, or a refusal that says what is known of it
      */
-    Answer ask(CallerRequest request, WorkloadSpec workload, TeamSpec team) throws InterruptedException
+    Answer runOrJoin(CallerRequest request, WorkloadSpec workload, TeamSpec team) throws InterruptedException
     {
         if (!support.rights().isValid())
         {
-            return refused(ResultCode.NO_RIGHTS, "this box may not decide on the key now", request);
+            return rejected(ResultCode.NO_RIGHTS, "this box may not decide on the key now", request);
         }
-        KeyTable.Registration ask;
+        KeyTable.Registration registration;
         try
         {
-            ask = table.register(request.team(), request.key(), request.workload(), request.keyIssuedAt(),
-                    request.task());
+            registration = keyTable.register(request.team(), request.key(), request.workload(),
+                    request.keyIssuedAt(), request.task());
         }
         catch (GaugehollowException e)
         {
-            boolean known = e.code() != ResultCode.KEY_MOVING;
-            return Answers.refused(e, request.task(), support.self().id()).toBuilder().setEvidence(known)
-                    .build();
+            boolean notRunIsCertain = e.code() != ResultCode.KEY_MOVING;
+            return Answers.rejected(e, request.task(), support.self().id()).toBuilder()
+                    .setEvidence(notRunIsCertain).build();
         }
-        if (ask.first())
+        if (registration.first())
         {
             Thread.ofVirtual().name("keyed-" + request.task())
-                    .start(() -> runFirst(ask.entry(), request, workload, team));
+                    .start(() -> runFirst(registration.entry(), request, workload, team));
         }
-        return await(ask, request);
+        return awaitAnswer(registration, request);
     }
 
-    private Answer await(KeyTable.Registration ask, CallerRequest request) throws InterruptedException
+    private Answer awaitAnswer(KeyTable.Registration registration, CallerRequest request)
+            throws InterruptedException
     {
         try
         {
-            Answer answer = ask.entry().answer().get(request.remainingMillis() + 1, TimeUnit.MILLISECONDS);
-            boolean recorded = !ask.first() && Answers.codeOf(answer) == ResultCode.OK;
-            Answer.Builder known = answer.toBuilder().setEvidence(!Answers.notRun(answer) || stillOwns());
+            Answer answer = registration.entry().answer().get(request.remainingMillis() + 1,
+                    TimeUnit.MILLISECONDS);
+            boolean recorded = !registration.first() && Answers.codeOf(answer) == ResultCode.OK;
+            Answer.Builder builder = answer.toBuilder()
+                    .setEvidence(!Answers.isNotRun(answer) || hasValidRights());
             return recorded
-                    ? known.setCode(ResultCode.RECORDED.number()).setRecorded(true).build()
-                    : known.build();
+                    ? builder.setCode(ResultCode.RECORDED.number()).setRecorded(true).build()
+                    : builder.build();
         }
         catch (TimeoutException e)
         {
-            return refused(ResultCode.STILL_RUNNING,
-                    "the request still runs under task " + ask.entry().task(), request);
+            return rejected(ResultCode.STILL_RUNNING,
+                    "the request still runs under task " + registration.entry().task(), request);
         }
         catch (ExecutionException e)
         {
-            return refused(ResultCode.INTERNAL, "a fault inside the box", request);
+            return rejected(ResultCode.INTERNAL, "a fault inside the box", request);
         }
     }
 
     /** Without rights another box may own the key by now and have run an earlier ask. */
-    private boolean stillOwns()
+    private boolean hasValidRights()
     {
         return support.rights().isValid();
     }
@@ -108,64 +111,64 @@
         Answer answer;
         try
         {
-            answer = noteThenRun(entry, request, workload, team);
+            answer = replicateThenRun(entry, request, workload, team);
         }
         catch (InterruptedException e)
         {
             Thread.currentThread().interrupt();
-            answer = refused(ResultCode.OUTCOME_UNKNOWN, "the box stopped", request);
+            answer = rejected(ResultCode.OUTCOME_UNKNOWN, "the box stopped", request);
         }
         catch (RuntimeException e)
         {
             support.events().record(EventType.INTERNAL_FAULT, request.task(), String.valueOf(e));
-            answer = refused(ResultCode.INTERNAL, "a fault inside the box", request);
+            answer = rejected(ResultCode.INTERNAL, "a fault inside the box", request);
         }
-        if (Answers.notRun(answer))
+        if (Answers.isNotRun(answer))
         {
-            tell(entry.forgetRecord());
-            table.recordNotRun(entry, answer);
+            replicateOutcome(entry.forgetRecord());
+            keyTable.recordNotRun(entry, answer);
         }
         else
         {
-            table.recordAnswer(entry, answer);
-            tell(entry.endedRecord());
+            keyTable.recordAnswer(entry, answer);
+            replicateOutcome(entry.endedRecord());
         }
     }
 
-    private Answer noteThenRun(KeyEntry entry, CallerRequest request, WorkloadSpec workload, TeamSpec team)
-            throws InterruptedException
+    private Answer replicateThenRun(KeyEntry entry, CallerRequest request, WorkloadSpec workload,
+            TeamSpec team) throws InterruptedException
     {
         try
         {
-            copyIntent(entry, request);
+            replicateIntent(entry, request);
         }
         catch (GaugehollowException e)
         {
-            return Answers.refused(e, request.task(), support.self().id());
+            return Answers.rejected(e, request.task(), support.self().id());
         }
         if (!support.rights().isValid())
         {
-            return refused(ResultCode.NO_RIGHTS, "this box's rights ended while it noted the key", request);
+            return rejected(ResultCode.NO_RIGHTS, "this box's rights ended while it noted the key", request);
         }
         return runner.run(request.withDeadline(runDeadline(request, workload)), workload, team);
     }
 
-    private void copyIntent(KeyEntry entry, CallerRequest request) throws InterruptedException
+    private void replicateIntent(KeyEntry entry, CallerRequest request) throws InterruptedException
     {
         for (int attempt = 1;; attempt++)
         {
             try
             {
-                copier.replicate(entry.intendedRecord());
+                replicator.replicate(entry.intendedRecord());
                 return;
             }
             catch (GaugehollowException e)
             {
-                if (attempt == COPY_TRIES || request.expired())
+                if (attempt == MAX_REPLICATION_ATTEMPTS || request.isExpired())
                 {
                     throw e;
                 }
-                Thread.sleep(COPY_PAUSE_MILLIS);
+                Thread.sleep(REPLICATION_RETRY_MILLIS);
             }
         }
     }
@@ -176,20 +179,20 @@
      */
     private static long runDeadline(CallerRequest request, WorkloadSpec workload)
     {
-        long own = SteadyClock.nanos()
-                + TimeUnit.MILLISECONDS.toNanos(Math.min(workload.timeoutMillis(), BEYOND_DEADLINE_MILLIS));
-        return own - request.deadlineNanos() > 0 ? own : request.deadlineNanos();
+        long minDeadline = SteadyClock.nanos()
+                + TimeUnit.MILLISECONDS.toNanos(Math.min(workload.timeoutMillis(), MIN_RUN_MILLIS));
+        return minDeadline - request.deadlineNanos() > 0 ? minDeadline : request.deadlineNanos();
     }
 
     /**
      * Copies a result. Without it a successor would know less, but nothing wrong, so a failure is let
      * pass.
      */
-    private void tell(PeerProtocol.KeyRecord record)
+    private void replicateOutcome(PeerProtocol.KeyRecord record)
     {
         try
         {
-            copier.replicate(record);
+            replicator.replicate(record);
         }
         catch (GaugehollowException e)
         {
@@ -201,8 +204,8 @@
         }
     }
 
-    private Answer refused(ResultCode code, String message, CallerRequest request)
+    private Answer rejected(ResultCode code, String message, CallerRequest request)
     {
-        return Answers.refused(code, message, request.task(), support.self().id());
+        return Answers.rejected(code, message, request.task(), support.self().id());
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/LocalRunner.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/LocalRunner.java
@@ -35,22 +35,22 @@
  */
 final class LocalRunner
 {
-    private static final long FIRST_WAIT_MILLIS = 20;
-    private static final long LONGEST_WAIT_MILLIS = 320;
-    private static final int MOST_PEERS_ASKED = 2;
+    private static final long INITIAL_WAIT_MILLIS = 20;
+    private static final long MAX_WAIT_MILLIS = 320;
+    private static final int MAX_PEERS_TRIED = 2;
 
     private final RequestSupport support;
     private final PlacementEngine engine;
-    private final WorkerKeeper workers;
+    private final UpstreamManager upstreams;
     private final PeerForwarder forwarder;
     private final PlacementLog placements;
 
-    LocalRunner(RequestSupport support, PlacementEngine engine, WorkerKeeper workers, PeerForwarder forwarder,
-            PlacementLog placements)
+    LocalRunner(RequestSupport support, PlacementEngine engine, UpstreamManager upstreams,
+            PeerForwarder forwarder, PlacementLog placements)
     {
         this.support = support;
         this.engine = engine;
-        this.workers = workers;
+        this.upstreams = upstreams;
         this.forwarder = forwarder;
         this.placements = placements;
     }
@@ -62,51 +62,52 @@
      */
     Answer run(CallerRequest request, WorkloadSpec workload, TeamSpec team) throws InterruptedException
     {
-        TaskDemand demand = demandOf(request, workload, team);
-        long wait = FIRST_WAIT_MILLIS;
+        TaskDemand demand = toDemand(request, workload, team);
+        long waitMillis = INITIAL_WAIT_MILLIS;
         while (true)
         {
-            Optional<Answer> answer = tryHereThenPeers(request, workload, demand);
+            Optional<Answer> answer = tryLocalThenPeers(request, workload, demand);
             if (answer.isEmpty())
             {
-                answer = waitForRoom(request, workload, demand, wait);
-                wait = Math.min(LONGEST_WAIT_MILLIS, wait * 2);
+                answer = waitForCapacity(request, workload, demand, waitMillis);
+                waitMillis = Math.min(MAX_WAIT_MILLIS, waitMillis * 2);
             }
-            if (answer.isPresent() && !mayRetry(answer.get(), request))
+            if (answer.isPresent() && !tryAcquireRetry(answer.get(), request))
             {
                 return answer.get();
             }
-            if (request.expired())
+            if (request.isExpired())
             {
                 return answer
-                        .orElseGet(() -> refused(ResultCode.NO_ROOM, "no worker had room in time", request));
+                        .orElseGet(() -> rejected(ResultCode.NO_ROOM, "no worker had room in time", request));
             }
         }
     }
 
     /** Runs a request on a worker of this box now, or says that it was not run. */
-    Answer runNow(CallerRequest request, WorkloadSpec workload, TeamSpec team) throws InterruptedException
+    Answer tryRunLocally(CallerRequest request, WorkloadSpec workload, TeamSpec team)
+            throws InterruptedException
     {
-        Optional<Placement> placement = placeNow(demandOf(request, workload, team));
+        Optional<Placement> placement = tryPlace(toDemand(request, workload, team));
         if (placement.isEmpty())
         {
-            return refused(ResultCode.NO_ROOM, "no worker of this box has room", request);
+            return rejected(ResultCode.NO_ROOM, "no worker of this box has room", request);
         }
         return dispatch(placement.get(), request, workload);
     }
 
-    private Optional<Answer> tryHereThenPeers(CallerRequest request, WorkloadSpec workload, TaskDemand demand)
-            throws InterruptedException
+    private Optional<Answer> tryLocalThenPeers(CallerRequest request, WorkloadSpec workload,
+            TaskDemand demand) throws InterruptedException
     {
-        Optional<Placement> placement = placeNow(demand);
+        Optional<Placement> placement = tryPlace(demand);
         if (placement.isPresent())
         {
             return Optional.of(dispatch(placement.get(), request, workload));
         }
-        for (String address : peersWithRoom(workload.needs()))
+        for (String address : peersWithCapacity(workload.needs()))
         {
             Answer answer = forwarder.forward(address, request, true);
-            if (!Answers.notRun(answer))
+            if (!Answers.isNotRun(answer))
             {
                 return Optional.of(answer);
             }
@@ -114,12 +115,12 @@
         return Optional.empty();
     }
 
-    private Optional<Placement> placeNow(TaskDemand demand)
+    private Optional<Placement> tryPlace(TaskDemand demand)
     {
         return support.rights().isValid() ? engine.tryPlace(demand) : Optional.empty();
     }
 
-    private Optional<Answer> waitForRoom(CallerRequest request, WorkloadSpec workload, TaskDemand demand,
+    private Optional<Answer> waitForCapacity(CallerRequest request, WorkloadSpec workload, TaskDemand demand,
             long waitMillis) throws InterruptedException
     {
         if (!support.rights().isValid())
@@ -127,11 +128,11 @@
             Thread.sleep(Math.min(waitMillis, request.remainingMillis()));
             return Optional.empty();
         }
-        long wakeAt = SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(waitMillis);
-        long until = wakeAt - request.deadlineNanos() < 0 ? wakeAt : request.deadlineNanos();
+        long waitEnd = SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(waitMillis);
+        long deadline = waitEnd - request.deadlineNanos() < 0 ? waitEnd : request.deadlineNanos();
         try
         {
-            return Optional.of(dispatch(engine.place(demand, until), request, workload));
+            return Optional.of(dispatch(engine.place(demand, deadline), request, workload));
         }
         catch (GaugehollowException e)
         {
@@ -139,22 +140,22 @@
             {
                 return Optional.empty();
             }
-            return Optional.of(Answers.refused(e, request.task(), support.self().id()));
+            return Optional.of(Answers.rejected(e, request.task(), support.self().id()));
         }
     }
 
-    private boolean mayRetry(Answer answer, CallerRequest request)
+    private boolean tryAcquireRetry(Answer answer, CallerRequest request)
     {
-        boolean worthIt = switch (Answers.codeOf(answer))
+        boolean retryable = switch (Answers.codeOf(answer))
         {
             case UPSTREAM_REFUSED, FENCED, NO_RIGHTS -> true;
             default -> false;
         };
-        if (!worthIt || request.expired())
+        if (!retryable || request.isExpired())
         {
             return false;
         }
-        boolean granted = support.retries().tryRetry();
+        boolean granted = support.retryBudget().tryAcquire();
         support.metrics().retries().labelValues(granted ? "granted" : "refused").inc();
         if (granted)
         {
@@ -166,61 +167,61 @@
     private Answer dispatch(Placement placement, CallerRequest request, WorkloadSpec workload)
             throws InterruptedException
     {
-        Optional<OwnedUpstream> upstream = workers.upstream(placement.worker());
+        Optional<OwnedUpstream> upstream = upstreams.upstream(placement.worker());
         if (upstream.isEmpty())
         {
             engine.release(placement);
-            return refused(ResultCode.NO_RIGHTS, "the worker has just changed owner", request);
+            return rejected(ResultCode.NO_RIGHTS, "the worker has just changed owner", request);
         }
         placements.add(placement);
         support.events().record(EventType.TASK_PLACED, request.task(), placement.worker());
         support.metrics().waiting().labelValues(placement.demand().taskClass().label(), placement.policy())
                 .observe(placement.waitedNanos() / 1e9);
-        UpstreamRequest message = new UpstreamRequest(request.task(), request.team(), request.key(),
+        UpstreamRequest upstreamRequest = new UpstreamRequest(request.task(), request.team(), request.key(),
                 workload.path(), workload.needs(), request.contentType(), request.body());
         try
         {
-            HttpReply reply = upstream.get().send(placement, message, request.deadlineNanos());
+            HttpReply reply = upstream.get().send(placement, upstreamRequest, request.deadlineNanos());
             return Answers.answered(reply, request.task(), support.self().id(), placement.worker());
         }
         catch (GaugehollowException e)
         {
-            return Answers.refused(e, request.task(), support.self().id()).toBuilder()
+            return Answers.rejected(e, request.task(), support.self().id()).toBuilder()
                     .setUpstream(placement.worker()).build();
         }
     }
 
     /** The peers that last said they have room, those with most first; two are asked at most. */
-    private List<String> peersWithRoom(ComputeResources needs)
+    private List<String> peersWithCapacity(ComputeResources needs)
     {
         Map<String, BoxStatus> statuses = support.peers().reachableStatuses();
-        Optional<AssignmentMap> map = support.halls().map();
+        Optional<AssignmentMap> map = support.assignmentMaps().map();
         if (map.isEmpty())
         {
             return List.of();
         }
-        Set<String> known = new HashSet<>(map.get().boxes().keySet());
+        Set<String> mapMembers = new HashSet<>(map.get().boxes().keySet());
         return statuses.entrySet().stream()
-                .filter(e -> known.contains(e.getKey()) && hasRoom(e.getValue(), needs))
-                .sorted(Comparator.comparing(e -> -e.getValue().getFreeSlots())).limit(MOST_PEERS_ASKED)
+                .filter(e -> mapMembers.contains(e.getKey()) && hasCapacity(e.getValue(), needs))
+                .sorted(Comparator.comparing(e -> -e.getValue().getFreeSlots())).limit(MAX_PEERS_TRIED)
                 .map(e -> map.get().boxes().get(e.getKey()).peerAddress()).toList();
     }
 
-    private static boolean hasRoom(BoxStatus status, ComputeResources needs)
+    private static boolean hasCapacity(BoxStatus status, ComputeResources needs)
     {
         ComputeResources free = new ComputeResources(status.getFreeSlots(), status.getFreeCpuMillis(),
                 status.getFreeMemoryMib(), status.getFreeAccelerators());
         return !status.getLeaving() && free.fits(needs);
     }
 
-    private static TaskDemand demandOf(CallerRequest request, WorkloadSpec workload, TeamSpec team)
+    private static TaskDemand toDemand(CallerRequest request, WorkloadSpec workload, TeamSpec team)
     {
         return new TaskDemand(request.task(), workload.taskClass(), request.team(), team.weight(),
                 team.maxRunning(), workload.needs(), request.deadlineNanos());
     }
 
-    private Answer refused(ResultCode code, String message, CallerRequest request)
+    private Answer rejected(ResultCode code, String upstreamRequest, CallerRequest request)
     {
-        return Answers.refused(code, message, request.task(), support.self().id());
+        return Answers.rejected(code, upstreamRequest, request.task(), support.self().id());
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/OperatorApi.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/OperatorApi.java
@@ -25,9 +25,9 @@
 {
     private static final int OK = 200;
     private static final int UNAVAILABLE = 503;
-    private static final int KIND_PART = 2;
-    private static final int NAME_PART = 3;
-    private static final long HEARTBEAT_NANOS = TimeUnit.SECONDS.toNanos(2);
+    private static final int KIND_INDEX = 2;
+    private static final int NAME_INDEX = 3;
+    private static final long HEARTBEAT_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(2);
 
     private final ResourceApi resources;
     private final PlacementLog placements;
@@ -51,68 +51,71 @@
         switch (exchange.request().path())
         {
             case "/healthz" -> exchange.respond(HttpReply.json(OK, Map.of("status", "alive")));
-            case "/readyz" -> ready(exchange);
+            case "/readyz" -> sendReadiness(exchange);
             case "/metrics" -> exchange.respond(HttpReply.of(OK, Metrics.CONTENT_TYPE, metrics.scrape()));
             case "/v1/status" -> exchange.respond(HttpReply.json(OK, report.get()));
-            case "/v1/timeline" -> timeline(exchange);
+            case "/v1/timeline" -> sendTimeline(exchange);
             case "/v1/placements" -> watchPlacements(exchange);
-            default -> resource(exchange);
+            default -> routeResource(exchange);
         }
     }
 
-    private void ready(HttpExchange exchange) throws InterruptedException
+    private void sendReadiness(HttpExchange exchange) throws InterruptedException
     {
-        BoxReport now = report.get();
-        exchange.respond(HttpReply.json(now.ready() ? OK : UNAVAILABLE, Map.of("ready", now.ready())));
+        BoxReport current = report.get();
+        exchange.respond(
+                HttpReply.json(current.ready() ? OK : UNAVAILABLE, Map.of("ready", current.ready())));
     }
 
-    private void timeline(HttpExchange exchange) throws InterruptedException
+    private void sendTimeline(HttpExchange exchange) throws InterruptedException
     {
-        long after = exchange.request().parameter("after").map(ResourceApi::number).orElse(0L);
+        long after = exchange.request().parameter("after").map(ResourceApi::parseNumber).orElse(0L);
         exchange.respond(HttpReply.json(OK, events.since(after)));
     }
 
-    private void resource(HttpExchange exchange) throws InterruptedException
+    private void routeResource(HttpExchange exchange) throws InterruptedException
     {
         String[] parts = exchange.request().path().split("/", -1);
-        boolean versioned = parts.length > KIND_PART && "v1".equals(parts[1]);
-        Optional<ResourceKind> kind = versioned ? ResourceKind.ofPlural(parts[KIND_PART]) : Optional.empty();
-        if (kind.isEmpty() || parts.length > NAME_PART + 1)
+        boolean versioned = parts.length > KIND_INDEX && "v1".equals(parts[1]);
+        Optional<ResourceKind> kind = versioned ? ResourceKind.ofPlural(parts[KIND_INDEX]) : Optional.empty();
+        if (kind.isEmpty() || parts.length > NAME_INDEX + 1)
         {
             throw new GaugehollowException(ResultCode.UNKNOWN_PATH, "no such path");
         }
-        if (parts.length == NAME_PART)
+        if (parts.length == NAME_INDEX)
         {
             resources.handleKind(exchange, kind.get());
         }
         else
         {
-            resources.handleResource(exchange, kind.get(), parts[NAME_PART]);
+            resources.handleResource(exchange, kind.get(), parts[NAME_INDEX]);
         }
     }
 
     private void watchPlacements(HttpExchange exchange) throws InterruptedException
     {
-        long from = exchange.request().parameter("from").map(ResourceApi::number).orElseGet(placements::last);
+        long lastSequence = exchange.request().parameter("from").map(ResourceApi::parseNumber)
+                .orElseGet(placements::lastSequence);
         exchange.startLines();
         while (exchange.isOpen())
         {
-            Optional<List<PlacementLog.Entry>> entries = placements.awaitAfter(from, HEARTBEAT_NANOS);
+            Optional<List<PlacementLog.Entry>> entries = placements.awaitAfter(lastSequence,
+                    HEARTBEAT_INTERVAL_NANOS);
             if (entries.isEmpty())
             {
-                exchange.writeLine(
-                        Json.write(new WatchLine("ERROR", from, null, "placements after it are gone")));
+                exchange.writeLine(Json
+                        .write(new WatchLine("ERROR", lastSequence, null, "placements after it are gone")));
                 exchange.endLines();
                 return;
             }
             for (PlacementLog.Entry entry : entries.get())
             {
-                from = entry.sequence();
+                lastSequence = entry.sequence();
                 exchange.writeLine(Json.write(entry));
             }
             if (entries.get().isEmpty())
             {
-                exchange.writeLine(Json.write(new WatchLine("HEARTBEAT", from, null, null)));
+                exchange.writeLine(Json.write(new WatchLine("HEARTBEAT", lastSequence, null, null)));
             }
         }
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/OwnedUpstream.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/OwnedUpstream.java
@@ -35,9 +35,9 @@
  */
 final class OwnedUpstream implements SupervisedTask, AutoCloseable
 {
-    private static final long PROBE_MILLIS = 1_000;
-    private static final long QUICK_PROBE_MILLIS = 250;
-    private static final long NO_RIGHTS_MILLIS = 50;
+    private static final long PROBE_INTERVAL_MILLIS = 1_000;
+    private static final long FAST_PROBE_INTERVAL_MILLIS = 250;
+    private static final long RIGHTS_POLL_MILLIS = 50;
 
     private final Worker worker;
     private final long epoch;
@@ -48,17 +48,17 @@
     private final Rights rights;
     private final EventLog events;
     /** Tasks whose outcome is unknown: they hold their room until the worker no longer names them. */
-    private final Map<Placement, Long> lingering = new ConcurrentHashMap<>();
+    private final Map<Placement, Long> unresolved = new ConcurrentHashMap<>();
     private volatile boolean claimed;
     /** Tasks that ran here before this claim, possibly under the same epoch. */
-    private volatile Set<String> inherited = Set.of();
+    private volatile Set<String> inheritedTasks = Set.of();
     private volatile boolean closed;
-    private volatile boolean withheld;
+    private volatile boolean cordoned;
     private boolean reachable = true;
     private volatile boolean leaving;
     private volatile boolean listedAsLeaving;
     /** Whether the worker's last answer lets it have work; guarded by this. */
-    private boolean fit;
+    private boolean accepting;
 
     OwnedUpstream(Worker worker, long epoch, String box, UpstreamClient client, PlacementEngine engine,
             Rights rights, EventLog events)
@@ -90,7 +90,7 @@
         listedAsLeaving = value;
         if (value)
         {
-            setFit(false);
+            setAccepting(false);
         }
     }
 
@@ -98,16 +98,16 @@
      * Stops or resumes new work. What runs is counted all along, so that it still is when the worker is
      * used again.
      */
-    synchronized void setWithheld(boolean value)
+    synchronized void setCordoned(boolean value)
     {
-        withheld = value;
-        engine.setAccepting(worker.id(), fit && !withheld);
+        cordoned = value;
+        engine.setAccepting(worker.id(), accepting && !cordoned);
     }
 
-    private synchronized void setFit(boolean value)
+    private synchronized void setAccepting(boolean value)
     {
-        fit = value;
-        engine.setAccepting(worker.id(), fit && !withheld);
+        accepting = value;
+        engine.setAccepting(worker.id(), accepting && !cordoned);
     }
 
     @Override
@@ -117,14 +117,14 @@
         {
             if (!rights.isValid())
             {
-                setFit(false);
-                Thread.sleep(NO_RIGHTS_MILLIS);
+                setAccepting(false);
+                Thread.sleep(RIGHTS_POLL_MILLIS);
                 continue;
             }
             probeOnce();
-            boolean settled = claimed && health.allowedSlots() == worker.capacity().slots()
-                    && lingering.isEmpty();
-            Thread.sleep(settled ? PROBE_MILLIS : QUICK_PROBE_MILLIS);
+            boolean stable = claimed && health.allowedSlots() == worker.capacity().slots()
+                    && unresolved.isEmpty();
+            Thread.sleep(stable ? PROBE_INTERVAL_MILLIS : FAST_PROBE_INTERVAL_MILLIS);
         }
     }
 
@@ -137,7 +137,7 @@
     HttpReply send(Placement placement, UpstreamRequest request, long deadlineNanos)
             throws InterruptedException
     {
-        boolean keepRoom = false;
+        boolean keepReserved = false;
         try
         {
             HttpReply reply = client.run(request, epoch, deadlineNanos, this::maySend);
@@ -146,15 +146,15 @@
         }
         catch (GaugehollowException e)
         {
-            keepRoom = e.code().outcome() != Outcome.NOT_RUN && !closed;
-            noteFailure(e);
+            keepReserved = e.code().outcome() != Outcome.NOT_RUN && !closed;
+            recordFailure(e);
             throw e;
         }
         finally
         {
-            if (keepRoom)
+            if (keepReserved)
             {
-                lingering.put(placement, SteadyClock.nanos());
+                unresolved.put(placement, SteadyClock.nanos());
             }
             else
             {
@@ -165,49 +165,49 @@
 
     private boolean maySend()
     {
-        return rights.isValid() && !withheld && !closed;
+        return rights.isValid() && !cordoned && !closed;
     }
 
-    private void noteFailure(GaugehollowException e)
+    private void recordFailure(GaugehollowException e)
     {
         if (e.code() == ResultCode.FENCED)
         {
             claimed = false;
         }
-        boolean out = switch (e.code())
+        boolean takenOut = switch (e.code())
         {
             case UPSTREAM_REFUSED, FENCED -> health.recordUnreachable();
             case OUTCOME_UNKNOWN, UPSTREAM_TIMEOUT -> health.recordFailure();
             default -> false;
         };
-        if (out)
+        if (takenOut)
         {
-            setFit(false);
+            setAccepting(false);
             events.record(EventType.WORKER_OUT, worker.id(), e.getMessage());
         }
     }
 
     private void probeOnce() throws InterruptedException
     {
-        long askedAt = SteadyClock.nanos();
+        long requestedAt = SteadyClock.nanos();
         try
         {
             UpstreamReport report = claimed ? client.report() : client.claim(new UpstreamClaim(box, epoch));
             if (!claimed)
             {
                 claimed = true;
-                inherited = taskIds(report);
+                inheritedTasks = taskIds(report);
                 events.record(EventType.WORKER_CLAIMED, worker.id(),
                         "epoch " + epoch + ", " + report.tasks().size() + " tasks running");
             }
-            apply(report, askedAt);
+            applyReport(report, requestedAt);
             reachable = true;
         }
         catch (GaugehollowException e)
         {
-            setFit(false);
-            boolean out = health.recordUnreachable();
-            if (out || reachable)
+            setAccepting(false);
+            boolean takenOut = health.recordUnreachable();
+            if (takenOut || reachable)
             {
                 events.record(claimed ? EventType.WORKER_OUT : EventType.WORKER_CLAIM_FAILED, worker.id(),
                         e.getMessage());
@@ -217,9 +217,9 @@
         }
     }
 
-    private void apply(UpstreamReport report, long askedAt)
+    private void applyReport(UpstreamReport report, long requestedAt)
     {
-        releaseLingering(report, askedAt);
+        releaseResolved(report, requestedAt);
         if (report.leaving() && !leaving)
         {
             events.record(EventType.WORKER_LEAVING, worker.id(), "by its own word");
@@ -232,27 +232,27 @@
         int slots = Math.min(worker.capacity().slots(), health.allowedSlots());
         ComputeResources usable = new ComputeResources(slots, worker.capacity().cpuMillis(),
                 worker.capacity().memoryMib(), worker.capacity().accelerators());
-        tellEngine(usable, foreign(report));
+        updateEngine(usable, orphanUsage(report));
     }
 
-    private synchronized void tellEngine(ComputeResources usable, ComputeResources foreign)
+    private synchronized void updateEngine(ComputeResources usable, ComputeResources orphanUsage)
     {
-        fit = !leaving && !listedAsLeaving && rights.isValid();
-        engine.putWorker(worker.id(), epoch, usable, foreign, fit && !withheld);
+        accepting = !leaving && !listedAsLeaving && rights.isValid();
+        engine.putWorker(worker.id(), epoch, usable, orphanUsage, accepting && !cordoned);
     }
 
     /** What runs there and was started before this claim, by an earlier owner or by this box. */
-    private ComputeResources foreign(UpstreamReport report)
+    private ComputeResources orphanUsage(UpstreamReport report)
     {
-        ComputeResources sum = ComputeResources.NONE;
+        ComputeResources total = ComputeResources.NONE;
         for (UpstreamTask task : report.tasks())
         {
-            if (task.epoch() != epoch || inherited.contains(task.task()))
+            if (task.epoch() != epoch || inheritedTasks.contains(task.task()))
             {
-                sum = sum.plus(task.needs());
+                total = total.plus(task.needs());
             }
         }
-        return sum;
+        return total;
     }
 
     private static Set<String> taskIds(UpstreamReport report)
@@ -260,13 +260,13 @@
         return report.tasks().stream().map(UpstreamTask::task).collect(Collectors.toSet());
     }
 
-    private void releaseLingering(UpstreamReport report, long askedAt)
+    private void releaseResolved(UpstreamReport report, long requestedAt)
     {
         Set<String> running = taskIds(report);
-        lingering.forEach((placement, since) ->
+        unresolved.forEach((placement, failedAt) ->
         {
-            boolean over = since - askedAt < 0 && !running.contains(placement.demand().task());
-            if (over && lingering.remove(placement) != null)
+            boolean ended = failedAt - requestedAt < 0 && !running.contains(placement.demand().task());
+            if (ended && unresolved.remove(placement) != null)
             {
                 engine.release(placement);
             }
@@ -278,8 +278,8 @@
     {
         closed = true;
         engine.removeWorker(worker.id());
-        lingering.keySet().forEach(engine::release);
-        lingering.clear();
+        unresolved.keySet().forEach(engine::release);
+        unresolved.clear();
         client.close();
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/PauseDetector.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/PauseDetector.java
@@ -20,17 +20,17 @@
  */
 final class PauseDetector implements SupervisedTask
 {
-    private static final long TICK_MILLIS = 100;
+    private static final long TICK_INTERVAL_MILLIS = 100;
 
-    private final long pauseMillis;
+    private final long minPauseMillis;
     private final Rights rights;
     private final Runnable renewNow;
     private final EventLog events;
 
     /** pauseMillis: the least gap that counts as a pause. */
-    PauseDetector(long pauseMillis, Rights rights, Runnable renewNow, EventLog events)
+    PauseDetector(long minPauseMillis, Rights rights, Runnable renewNow, EventLog events)
     {
-        this.pauseMillis = pauseMillis;
+        this.minPauseMillis = minPauseMillis;
         this.rights = rights;
         this.renewNow = renewNow;
         this.events = events;
@@ -40,33 +40,34 @@
     public void run() throws InterruptedException
     {
         long lastNanos = SteadyClock.nanos();
-        long lastWall = System.currentTimeMillis();
+        long lastWallMillis = System.currentTimeMillis();
         while (true)
         {
-            Thread.sleep(TICK_MILLIS);
-            long nanos = SteadyClock.nanos();
-            long wall = System.currentTimeMillis();
-            long ran = TimeUnit.NANOSECONDS.toMillis(nanos - lastNanos);
-            long passed = wall - lastWall;
-            boolean stoodStill = !SteadyClock.countsSuspension() && passed - ran > pauseMillis;
-            if (stoodStill)
+            Thread.sleep(TICK_INTERVAL_MILLIS);
+            long nowNanos = SteadyClock.nanos();
+            long wallMillis = System.currentTimeMillis();
+            long monotonicElapsed = TimeUnit.NANOSECONDS.toMillis(nowNanos - lastNanos);
+            long wallElapsed = wallMillis - lastWallMillis;
+            boolean wasSuspended = !SteadyClock.countsSuspension()
+                    && wallElapsed - monotonicElapsed > minPauseMillis;
+            if (wasSuspended)
             {
                 rights.revoke();
-                report(passed, "the monotonic clock stood still");
+                report(wallElapsed, "the monotonic clock stood still");
             }
-            else if (ran > pauseMillis)
+            else if (monotonicElapsed > minPauseMillis)
             {
                 rights.suspend();
-                report(ran, "the process did not run");
+                report(monotonicElapsed, "the process did not run");
             }
-            lastNanos = nanos;
-            lastWall = wall;
+            lastNanos = nowNanos;
+            lastWallMillis = wallMillis;
         }
     }
 
-    private void report(long millis, String what)
+    private void report(long millis, String cause)
     {
         renewNow.run();
-        events.record(EventType.PAUSE_DETECTED, "process", what + " for " + millis + " ms");
+        events.record(EventType.PAUSE_DETECTED, "process", cause + " for " + millis + " ms");
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/PeerCalls.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/PeerCallHandler.java
@@ -31,23 +31,23 @@
 import com.google.protobuf.ByteString;
 
 /** Answers the calls of peers. */
-final class PeerCalls implements PeerHandler
+final class PeerCallHandler implements PeerHandler
 {
-    private static final String UNTYPED = "application/octet-stream";
+    private static final String DEFAULT_CONTENT_TYPE = "application/octet-stream";
 
     private final Supplier<BoxStatus> ownStatus;
-    private final StoreLiveness evidence;
+    private final StoreLiveness storeLiveness;
     private final ConfigCache config;
     private final RosterCache roster;
     private final ReplicaTable replicas;
     private final RequestRouter router;
     private final AtomicInteger inFlight = new AtomicInteger();
 
-    PeerCalls(Supplier<BoxStatus> ownStatus, StoreLiveness evidence, ConfigCache config, RosterCache roster,
-            ReplicaTable replicas, RequestRouter router)
+    PeerCallHandler(Supplier<BoxStatus> ownStatus, StoreLiveness storeLiveness, ConfigCache config,
+            RosterCache roster, ReplicaTable replicas, RequestRouter router)
     {
         this.ownStatus = ownStatus;
-        this.evidence = evidence;
+        this.storeLiveness = storeLiveness;
         this.config = config;
         this.roster = roster;
         this.replicas = replicas;
@@ -77,14 +77,14 @@
 
     private Frame.Builder ping(BoxStatus sender)
     {
-        evidence.merge(StateMessages.contactOf(sender));
+        storeLiveness.merge(StateMessages.contactOf(sender));
         return Frame.newBuilder().setPingReply(PingReply.newBuilder().setStatus(ownStatus.get()));
     }
 
     private Frame.Builder forward(ForwardCall call) throws InterruptedException
     {
         long deadline = SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(call.getRemainingMillis());
-        String contentType = call.getContentType().isEmpty() ? UNTYPED : call.getContentType();
+        String contentType = call.getContentType().isEmpty() ? DEFAULT_CONTENT_TYPE : call.getContentType();
         CallerRequest request = new CallerRequest(call.getTask(), call.getTeam(), call.getWorkload(),
                 call.getKey(), call.getKeyIssuedAt(), deadline, contentType, call.getBody().toByteArray(),
                 call.getHops(), false);
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/PeerForwarder.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/PeerForwarder.java
@@ -17,7 +17,7 @@
 /** Passes requests to peers and brings their answers back. */
 final class PeerForwarder
 {
-    private static final long ANSWER_GRACE_MILLIS = 50;
+    private static final long REPLY_GRACE_MILLIS = 50;
 
     private final RequestSupport support;
 
@@ -45,20 +45,21 @@
         PeerLink link = support.directory().link(address);
         try
         {
-            long wait = request.remainingMillis() + ANSWER_GRACE_MILLIS;
-            return link.call(Frame.newBuilder().setForward(call), wait).getForwardReply().getAnswer();
+            long timeoutMillis = request.remainingMillis() + REPLY_GRACE_MILLIS;
+            return link.call(Frame.newBuilder().setForward(call), timeoutMillis).getForwardReply()
+                    .getAnswer();
         }
         catch (GaugehollowException e)
         {
-            return Answers.refused(asForwardResult(e), request.task(), support.self().id());
+            return Answers.rejected(toForwardFailure(e), request.task(), support.self().id());
         }
     }
 
     /** A fault that the peer itself reports without an outcome leaves open whether the request ran. */
-    private static GaugehollowException asForwardResult(GaugehollowException e)
+    private static GaugehollowException toForwardFailure(GaugehollowException e)
     {
-        boolean known = e.code() == ResultCode.PEER_UNREACHABLE || e.code() == ResultCode.PEER_LOST
+        boolean outcomeKnown = e.code() == ResultCode.PEER_UNREACHABLE || e.code() == ResultCode.PEER_LOST
                 || e.code() == ResultCode.QUEUE_FULL;
-        return known ? e : new GaugehollowException(ResultCode.PEER_LOST, e.getMessage(), e);
+        return outcomeKnown ? e : new GaugehollowException(ResultCode.PEER_LOST, e.getMessage(), e);
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/PlacementLog.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/PlacementLog.java
@@ -26,20 +26,20 @@
 
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition added = lock.newCondition();
-    private final Deque<Entry> ring = new ArrayDeque<>();
-    private long last;
+    private final Deque<Entry> entries = new ArrayDeque<>();
+    private long lastSequence;
 
     void add(Placement placement)
     {
         lock.lock();
         try
         {
-            last++;
-            if (ring.size() == CAPACITY)
+            lastSequence++;
+            if (entries.size() == CAPACITY)
             {
-                ring.removeFirst();
+                entries.removeFirst();
             }
-            ring.addLast(new Entry(last, placement.demand().task(), placement.demand().team(),
+            entries.addLast(new Entry(lastSequence, placement.demand().task(), placement.demand().team(),
                     placement.demand().taskClass().label(), placement.worker(), placement.epoch(),
                     placement.policy(), placement.waitedNanos() / 1_000));
             added.signalAll();
@@ -51,19 +51,19 @@
     }
 
     /** Waits for placements after the given number; nothing at all if they are no longer held. */
-    Optional<List<Entry>> awaitAfter(long from, long nanos) throws InterruptedException
+    Optional<List<Entry>> awaitAfter(long sequence, long timeoutNanos) throws InterruptedException
     {
         lock.lock();
         try
         {
-            long left = nanos;
-            while (last <= from && left > 0)
+            long remainingNanos = timeoutNanos;
+            while (lastSequence <= sequence && remainingNanos > 0)
             {
-                left = added.awaitNanos(left);
+                remainingNanos = added.awaitNanos(remainingNanos);
             }
-            boolean held = from >= last - ring.size();
-            return held
-                    ? Optional.of(ring.stream().filter(e -> e.sequence > from).toList())
+            boolean retained = sequence >= lastSequence - entries.size();
+            return retained
+                    ? Optional.of(entries.stream().filter(e -> e.sequence > sequence).toList())
                     : Optional.empty();
         }
         finally
@@ -72,12 +72,12 @@
         }
     }
 
-    long last()
+    long lastSequence()
     {
         lock.lock();
         try
         {
-            return last;
+            return lastSequence;
         }
         finally
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/GiveAway.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/Rebalancer.java
@@ -34,35 +34,35 @@
  * the owner itself gives: it stops using what it gives, hands the keys' records over, and then
  * changes the map.
  */
-final class GiveAway implements SupervisedTask
+final class Rebalancer implements SupervisedTask
 {
-    private static final long PERIOD_MILLIS = 1_000;
-    private static final long LEAVING_PERIOD_MILLIS = 100;
+    private static final long INTERVAL_MILLIS = 1_000;
+    private static final long LEAVING_INTERVAL_MILLIS = 100;
 
     private final BoxIdentity self;
-    private final AssignmentMaps halls;
+    private final AssignmentMaps assignmentMaps;
     private final Rights rights;
     private final PeerMonitor peers;
     private final MapStore mapStore;
-    private final WorkerKeeper workers;
-    private final KeyTable keys;
-    private final KeyReplicator copier;
+    private final UpstreamManager upstreams;
+    private final KeyTable keyTable;
+    private final KeyReplicator replicator;
     private final EventLog events;
-    private boolean unsettled;
+    private boolean changePending;
     private volatile boolean leaving;
 
-    GiveAway(RequestSupport support, MapStore mapStore, WorkerKeeper workers, KeyTable keys,
-            KeyReplicator copier)
+    Rebalancer(RequestSupport support, MapStore mapStore, UpstreamManager upstreams, KeyTable keyTable,
+            KeyReplicator replicator)
     {
         this.self = support.self();
-        this.halls = support.halls();
+        this.assignmentMaps = support.assignmentMaps();
         this.rights = support.rights();
         this.peers = support.peers();
         this.events = support.events();
         this.mapStore = mapStore;
-        this.workers = workers;
-        this.keys = keys;
-        this.copier = copier;
+        this.upstreams = upstreams;
+        this.keyTable = keyTable;
+        this.replicator = replicator;
     }
 
     @Override
@@ -70,42 +70,43 @@
     {
         while (true)
         {
-            Thread.sleep(leaving ? LEAVING_PERIOD_MILLIS : PERIOD_MILLIS);
-            giveOnce();
+            Thread.sleep(leaving ? LEAVING_INTERVAL_MILLIS : INTERVAL_MILLIS);
+            rebalanceOnce();
         }
     }
 
     /** From now on everything is given away. */
-    void leave()
+    void startLeaving()
     {
         leaving = true;
     }
 
     /** @return whether the map has nothing left that belongs to this box */
-    boolean nothingLeft()
+    boolean ownsNothing()
     {
-        return halls.map().map(map -> map.workersOf(self.id()).isEmpty() && map.slotsOf(self.id()).isEmpty())
+        return assignmentMaps.map()
+                .map(map -> map.workersOf(self.id()).isEmpty() && map.slotsOf(self.id()).isEmpty())
                 .orElse(true);
     }
 
-    private void giveOnce() throws InterruptedException
+    private void rebalanceOnce() throws InterruptedException
     {
-        Optional<AssignmentMaps.Versioned> known = halls.versioned();
-        boolean mayGive = known.isPresent() && rights.isValid()
-                && known.get().map().boxes().containsKey(self.id());
-        if (!mayGive)
+        Optional<AssignmentMaps.Versioned> current = assignmentMaps.versioned();
+        boolean canTransfer = current.isPresent() && rights.isValid()
+                && current.get().map().boxes().containsKey(self.id());
+        if (!canTransfer)
         {
             return;
         }
         try
         {
-            if (unsettled)
+            if (changePending)
             {
-                settle();
+                settlePendingChange();
             }
             else
             {
-                give(known.get());
+                rebalance(current.get());
             }
         }
         catch (GaugehollowException e)
@@ -114,25 +115,25 @@
         }
     }
 
-    private void give(AssignmentMaps.Versioned known) throws InterruptedException
+    private void rebalance(AssignmentMaps.Versioned current) throws InterruptedException
     {
-        AssignmentMap map = known.map();
+        AssignmentMap map = current.map();
         Map<String, Integer> workerCounts = receivers();
         Map<String, Integer> slotCounts = new TreeMap<>(workerCounts);
-        workerCounts.replaceAll((box, zero) -> map.workersOf(box).size());
-        slotCounts.replaceAll((box, zero) -> map.slotsOf(box).size());
-        Map<String, String> workerGifts = MapPlanner.surplus(workerCounts, self.id(), leaving,
+        workerCounts.replaceAll((box, count) -> map.workersOf(box).size());
+        slotCounts.replaceAll((box, count) -> map.slotsOf(box).size());
+        Map<String, String> workerTransfers = MapPlanner.surplus(workerCounts, self.id(), leaving,
                 map.workersOf(self.id()));
-        Map<Integer, String> slotGifts = MapPlanner.surplus(slotCounts, self.id(), leaving,
+        Map<Integer, String> slotTransfers = MapPlanner.surplus(slotCounts, self.id(), leaving,
                 map.slotsOf(self.id()));
-        if (workerGifts.isEmpty() && slotGifts.isEmpty())
+        if (workerTransfers.isEmpty() && slotTransfers.isEmpty())
         {
             return;
         }
-        workers.withhold(workerGifts.keySet());
-        keys.setMoving(slotGifts.keySet(), true);
-        Map<Integer, String> handedOver = handOver(map, slotGifts);
-        changeMap(known, workerGifts, handedOver);
+        upstreams.cordon(workerTransfers.keySet());
+        keyTable.setMoving(slotTransfers.keySet(), true);
+        Map<Integer, String> handedOver = handOverIdleSlots(map, slotTransfers);
+        changeMap(current, workerTransfers, handedOver);
     }
 
     /** The boxes that may receive, this one included, each with a count of zero. */
@@ -141,10 +142,10 @@
         Map<String, Integer> counts = new TreeMap<>();
         counts.put(self.id(), 0);
         Map<String, BoxStatus> statuses = peers.reachableStatuses();
-        Set<String> inMap = halls.map().map(m -> m.boxes().keySet()).orElse(Set.of());
+        Set<String> mapMembers = assignmentMaps.map().map(m -> m.boxes().keySet()).orElse(Set.of());
         statuses.forEach((box, status) ->
         {
-            if (!status.getLeaving() && inMap.contains(box))
+            if (!status.getLeaving() && mapMembers.contains(box))
             {
                 counts.put(box, 0);
             }
@@ -153,68 +154,69 @@
     }
 
     /** Hands over the slots in which nothing runs; the others follow in a later round. */
-    private Map<Integer, String> handOver(AssignmentMap map, Map<Integer, String> gifts)
+    private Map<Integer, String> handOverIdleSlots(AssignmentMap map, Map<Integer, String> transfers)
             throws InterruptedException
     {
-        List<Integer> idle = keys.idleSlots(gifts.keySet());
+        List<Integer> idle = keyTable.idleSlots(transfers.keySet());
         Map<String, List<Integer>> byReceiver = new HashMap<>();
-        idle.forEach(slot -> byReceiver.computeIfAbsent(gifts.get(slot), r -> new ArrayList<>()).add(slot));
+        idle.forEach(
+                slot -> byReceiver.computeIfAbsent(transfers.get(slot), r -> new ArrayList<>()).add(slot));
         Map<Integer, String> handedOver = new LinkedHashMap<>();
-        for (Map.Entry<String, List<Integer>> each : byReceiver.entrySet())
+        for (Map.Entry<String, List<Integer>> receiver : byReceiver.entrySet())
         {
             try
             {
-                copier.handOver(map.boxes().get(each.getKey()), each.getValue(), map.epoch());
-                each.getValue().forEach(slot -> handedOver.put(slot, each.getKey()));
+                replicator.handOver(map.boxes().get(receiver.getKey()), receiver.getValue(), map.epoch());
+                receiver.getValue().forEach(slot -> handedOver.put(slot, receiver.getKey()));
             }
             catch (GaugehollowException e)
             {
-                events.record(EventType.PEER_LOST, each.getKey(), e.getMessage());
+                events.record(EventType.PEER_LOST, receiver.getKey(), e.getMessage());
             }
         }
         return handedOver;
     }
 
-    private void changeMap(AssignmentMaps.Versioned known, Map<String, String> workerGifts,
-            Map<Integer, String> slotGifts) throws InterruptedException
+    private void changeMap(AssignmentMaps.Versioned current, Map<String, String> workerTransfers,
+            Map<Integer, String> slotTransfers) throws InterruptedException
     {
         try
         {
-            AssignmentMap next = MapPlanner.afterTransfer(known.map(), workerGifts, slotGifts);
-            if (mapStore.change(known.revision(), next, MapStore.noBoxes()) && !slotGifts.isEmpty())
+            AssignmentMap next = MapPlanner.afterTransfer(current.map(), workerTransfers, slotTransfers);
+            if (mapStore.change(current.revision(), next, MapStore.noBoxes()) && !slotTransfers.isEmpty())
             {
-                events.record(EventType.SLOTS_HANDED_OVER, self.id(), slotGifts.entrySet().stream()
+                events.record(EventType.SLOTS_HANDED_OVER, self.id(), slotTransfers.entrySet().stream()
                         .map(e -> e.getKey() + ">" + e.getValue()).collect(Collectors.joining(" ")));
             }
         }
         catch (GaugehollowException e)
         {
-            unsettled = true;
+            changePending = true;
             throw e;
         }
-        useWhatIsLeft();
+        resumeRemaining();
     }
 
     /**
      * A change whose answer was lost may still take effect, so nothing that it gives away is used until
      * the map has moved past the revision that it started from.
      */
-    private void settle() throws InterruptedException
+    private void settlePendingChange() throws InterruptedException
     {
-        Optional<AssignmentMaps.Versioned> known = halls.versioned();
-        if (known.isPresent())
+        Optional<AssignmentMaps.Versioned> current = assignmentMaps.versioned();
+        if (current.isPresent())
         {
-            AssignmentMap map = known.get().map();
-            mapStore.change(known.get().revision(), MapPlanner.afterTransfer(map, Map.of(), Map.of()),
+            AssignmentMap map = current.get().map();
+            mapStore.change(current.get().revision(), MapPlanner.afterTransfer(map, Map.of(), Map.of()),
                     MapStore.noBoxes());
         }
-        unsettled = false;
-        useWhatIsLeft();
+        changePending = false;
+        resumeRemaining();
     }
 
-    private void useWhatIsLeft()
+    private void resumeRemaining()
     {
-        workers.releaseWithheld();
-        keys.setMoving(keys.owned(), false);
+        upstreams.uncordonAll();
+        keyTable.setMoving(keyTable.owned(), false);
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/RequestRouter.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/RequestRouter.java
@@ -26,15 +26,15 @@
  */
 final class RequestRouter
 {
-    private static final int MOST_HOPS = 3;
-    private static final int MOST_BOXES_TRIED = 2;
-    private static final long FIRST_PAUSE_MILLIS = 25;
-    private static final long LONGEST_PAUSE_MILLIS = 400;
+    private static final int MAX_HOPS = 3;
+    private static final int MAX_BOXES_TRIED = 2;
+    private static final long INITIAL_BACKOFF_MILLIS = 25;
+    private static final long MAX_BACKOFF_MILLIS = 400;
     /**
      * Hand-overs take less; a take-over takes longer, and its callers are better told when to come
      * back.
      */
-    private static final long LONGEST_ASKING_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
+    private static final long MAX_RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
     private final RequestSupport support;
     private final LocalRunner runner;
@@ -60,20 +60,20 @@
      */
     Answer route(CallerRequest request) throws InterruptedException
     {
-        support.retries().requestArrived();
+        support.retryBudget().recordRequest();
         try
         {
-            ActiveConfig config = config();
-            WorkloadSpec workload = workloadOf(request, config);
-            TeamSpec team = teamOf(request, config);
-            check(request, workload);
+            ActiveConfig config = requireConfig();
+            WorkloadSpec workload = requireWorkload(request, config);
+            TeamSpec team = requireTeam(request, config);
+            validate(request, workload);
             return request.hasKey()
                     ? routeKeyed(request, workload, team)
                     : runner.run(request, workload, team);
         }
         catch (GaugehollowException e)
         {
-            return Answers.refused(e, request.task(), support.self().id());
+            return Answers.rejected(e, request.task(), support.self().id());
         }
     }
 
@@ -93,12 +93,13 @@
         }
         try
         {
-            ActiveConfig config = config();
-            return runner.runNow(request, workloadOf(request, config), teamOf(request, config));
+            ActiveConfig config = requireConfig();
+            return runner.tryRunLocally(request, requireWorkload(request, config),
+                    requireTeam(request, config));
         }
         catch (GaugehollowException e)
         {
-            return Answers.refused(e, request.task(), support.self().id());
+            return Answers.rejected(e, request.task(), support.self().id());
         }
     }
 
@@ -110,20 +111,23 @@
     private Answer routeKeyed(CallerRequest request, WorkloadSpec workload, TeamSpec team)
             throws InterruptedException
     {
-        long pause = FIRST_PAUSE_MILLIS;
-        boolean earlierAskOpen = false;
-        long giveUpAt = SteadyClock.nanos() + LONGEST_ASKING_NANOS;
+        long backoff = INITIAL_BACKOFF_MILLIS;
+        boolean earlierAttemptOpen = false;
+        long retryDeadline = SteadyClock.nanos() + MAX_RETRY_NANOS;
         while (true)
         {
-            Answer answer = askOwnerOnce(request, workload, team);
-            boolean late = request.remainingMillis() <= pause || SteadyClock.nanos() - giveUpAt > 0;
-            if (!worthAskingAgain(answer) || request.hops() > 0 || late)
+            Answer answer = sendToOwner(request, workload, team);
+            boolean outOfTime = request.remainingMillis() <= backoff
+                    || SteadyClock.nanos() - retryDeadline > 0;
+            if (!isRetryable(answer) || request.hops() > 0 || outOfTime)
             {
-                return request.hops() > 0 ? answer : truthful(answer, request, earlierAskOpen);
+                return request.hops() > 0
+                        ? answer
+                        : replaceUncertainNotRun(answer, request, earlierAttemptOpen);
             }
-            earlierAskOpen |= !Answers.notRun(answer);
-            Thread.sleep(pause);
-            pause = Math.min(LONGEST_PAUSE_MILLIS, pause * 2);
+            earlierAttemptOpen |= !Answers.isNotRun(answer);
+            Thread.sleep(backoff);
+            backoff = Math.min(MAX_BACKOFF_MILLIS, backoff * 2);
         }
     }
 
@@ -132,10 +136,11 @@
      * it, or the caller says that this is its first ask; and never while an earlier ask of this box may
      * still arrive.
      */
-    private static Answer truthful(Answer answer, CallerRequest request, boolean earlierAskOpen)
+    private static Answer replaceUncertainNotRun(Answer answer, CallerRequest request,
+            boolean earlierAttemptOpen)
     {
-        boolean sure = !earlierAskOpen && (answer.getEvidence() || request.firstAsk());
-        if (!Answers.notRun(answer) || sure)
+        boolean certain = !earlierAttemptOpen && (answer.getEvidence() || request.firstAttempt());
+        if (!Answers.isNotRun(answer) || certain)
         {
             return answer;
         }
@@ -145,7 +150,7 @@
                 .setMessage("ask again with the same key: " + answer.getMessage()).build();
     }
 
-    private static boolean worthAskingAgain(Answer answer)
+    private static boolean isRetryable(Answer answer)
     {
         return switch (Answers.codeOf(answer))
         {
@@ -154,26 +159,26 @@
         };
     }
 
-    private Answer askOwnerOnce(CallerRequest request, WorkloadSpec workload, TeamSpec team)
+    private Answer sendToOwner(CallerRequest request, WorkloadSpec workload, TeamSpec team)
             throws InterruptedException
     {
         if (!team.homeHall().equals(support.self().hall()))
         {
             return forwardToHall(team.homeHall(), request);
         }
-        Optional<AssignmentMap> map = support.halls().map();
+        Optional<AssignmentMap> map = support.assignmentMaps().map();
         if (map.isEmpty())
         {
-            return refused(ResultCode.KEY_MOVING, "the hall has no map yet", request);
+            return rejected(ResultCode.KEY_MOVING, "the hall has no map yet", request);
         }
         String owner = map.get().slotOwners().get(KeySlots.slotOf(request.team(), request.key())).box();
         if (owner.equals(support.self().id()))
         {
-            return keyedRunner.ask(request, workload, team);
+            return keyedRunner.runOrJoin(request, workload, team);
         }
-        if (request.hops() >= MOST_HOPS)
+        if (request.hops() >= MAX_HOPS)
         {
-            return refused(ResultCode.KEY_MOVING, "the key's owner is changing", request);
+            return rejected(ResultCode.KEY_MOVING, "the key's owner is changing", request);
         }
         return forwarder.forward(map.get().boxes().get(owner).peerAddress(), request, false);
     }
@@ -181,12 +186,12 @@
     /** Any box of the hall passes the request on to the owner; two are tried. */
     private Answer forwardToHall(String hall, CallerRequest request) throws InterruptedException
     {
-        List<AssignmentMap.Member> boxes = support.halls().mapOf(hall)
-                .map(m -> List.copyOf(m.boxes().values())).orElse(List.of());
-        if (request.hops() < MOST_HOPS)
+        List<AssignmentMap.Member> boxes = support.assignmentMaps().mapOf(hall)
+                .map(map -> List.copyOf(map.boxes().values())).orElse(List.of());
+        if (request.hops() < MAX_HOPS)
         {
             int first = boxes.isEmpty() ? 0 : random.nextInt(boxes.size());
-            for (int i = 0; i < Math.min(MOST_BOXES_TRIED, boxes.size()); i++)
+            for (int i = 0; i < Math.min(MAX_BOXES_TRIED, boxes.size()); i++)
             {
                 AssignmentMap.Member box = boxes.get((first + i) % boxes.size());
                 Answer answer = forwarder.forward(box.peerAddress(), request, false);
@@ -196,12 +201,12 @@
                 }
             }
         }
-        return refused(ResultCode.HALL_UNREACHABLE, "hall " + hall + " cannot be reached", request);
+        return rejected(ResultCode.HALL_UNREACHABLE, "hall " + hall + " cannot be reached", request);
     }
 
-    private ActiveConfig config()
+    private ActiveConfig requireConfig()
     {
-        ActiveConfig config = support.config().get();
+        ActiveConfig config = support.activeConfig().get();
         if (config == null)
         {
             throw new GaugehollowException(ResultCode.CONFIG_NOT_READY, "this box has no configuration yet");
@@ -209,20 +214,20 @@
         return config;
     }
 
-    private static WorkloadSpec workloadOf(CallerRequest request, ActiveConfig config)
+    private static WorkloadSpec requireWorkload(CallerRequest request, ActiveConfig config)
     {
         return config.workload(request.workload())
                 .orElseThrow(() -> new GaugehollowException(ResultCode.UNKNOWN_WORKLOAD,
                         "no workload \"" + request.workload() + "\" is in force"));
     }
 
-    private static TeamSpec teamOf(CallerRequest request, ActiveConfig config)
+    private static TeamSpec requireTeam(CallerRequest request, ActiveConfig config)
     {
         return config.team(request.team()).orElseThrow(() -> new GaugehollowException(ResultCode.UNKNOWN_TEAM,
                 "no team \"" + request.team() + "\" is in force"));
     }
 
-    private static void check(CallerRequest request, WorkloadSpec workload)
+    private static void validate(CallerRequest request, WorkloadSpec workload)
     {
         if (request.body().length > workload.maxBodyBytes())
         {
@@ -234,14 +239,14 @@
             throw new GaugehollowException(ResultCode.KEY_REQUIRED,
                     "requests of this workload may not be repeated and need an Idempotency-Key");
         }
-        if (request.expired())
+        if (request.isExpired())
         {
             throw new GaugehollowException(ResultCode.DEADLINE_PASSED, "the deadline has passed");
         }
     }
 
-    private Answer refused(ResultCode code, String message, CallerRequest request)
+    private Answer rejected(ResultCode code, String message, CallerRequest request)
     {
-        return Answers.refused(code, message, request.task(), support.self().id());
+        return Answers.rejected(code, message, request.task(), support.self().id());
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/RequestSupport.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/RequestSupport.java
@@ -19,17 +19,17 @@
  * What all parts of the request path share.
  *
  * @param self this box
- * @param config the resources in force
- * @param halls the maps of the halls
+ * @param activeConfig the resources in force
+ * @param assignmentMaps the maps of the halls
  * @param rights this box's rights
  * @param peers the monitor of peers
  * @param directory the links to peers
- * @param retries the budget of tries after "not run"
+ * @param retryBudget the budget of tries after "not run"
  * @param metrics counts requests
  * @param events the time line
  */
-record RequestSupport(BoxIdentity self, AtomicReference<ActiveConfig> config, AssignmentMaps halls,
-        Rights rights, PeerMonitor peers, PeerDirectory directory, RetryBudget retries, Metrics metrics,
-        EventLog events)
+record RequestSupport(BoxIdentity self, AtomicReference<ActiveConfig> activeConfig,
+        AssignmentMaps assignmentMaps, Rights rights, PeerMonitor peers, PeerDirectory directory,
+        RetryBudget retryBudget, Metrics metrics, EventLog events)
 {
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/ResourceApi.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/ResourceApi.java
@@ -38,7 +38,7 @@
 {
     private static final int OK = 200;
     private static final int CREATED = 201;
-    private static final long HEARTBEAT_NANOS = TimeUnit.SECONDS.toNanos(2);
+    private static final long HEARTBEAT_INTERVAL_NANOS = TimeUnit.SECONDS.toNanos(2);
 
     private final ConfigCache config;
     private final ResourceStore store;
@@ -63,7 +63,7 @@
         }
         long revision = config.revision();
         List<ResourceView> items = new ArrayList<>();
-        config.list(kind.plural() + '/').forEach(entry -> items.add(viewOf(entry)));
+        config.list(kind.plural() + '/').forEach(entry -> items.add(toView(entry)));
         exchange.respond(HttpReply.json(OK, Map.of("revision", revision, "items", items)));
     }
 
@@ -74,10 +74,10 @@
         Checks.name(name, "name");
         switch (message.method())
         {
-            case "GET" -> exchange.respond(withTag(OK, existing(kind, name)));
+            case "GET" -> exchange.respond(replyWithETag(OK, requireExisting(kind, name)));
             case "PUT" -> exchange.respond(put(message, kind, name));
             case "DELETE" -> {
-                ConfigEntry removed = store.delete(StoreKeys.resource(kind, checkUnused(kind, name)),
+                ConfigEntry removed = store.delete(StoreKeys.resource(kind, requireUnused(kind, name)),
                         requiredRevision(message));
                 config.applyOwn(removed);
                 exchange.respond(HttpReply.json(OK, Map.of("kind", kind.plural(), "name", name,
@@ -90,8 +90,8 @@
     private HttpReply put(HttpMessage message, ResourceKind kind, String name) throws InterruptedException
     {
         Object spec = ActiveConfig.parseSpec(kind, message.body());
-        checkContent(kind, name, spec);
-        Optional<Long> expected = revisionOf(message);
+        checkSpec(kind, name, spec);
+        Optional<Long> expected = parseRevision(message);
         String key = StoreKeys.resource(kind, name);
         if (expected.isEmpty() && config.get(key).isPresent())
         {
@@ -101,19 +101,19 @@
         JsonNode content = Json.read(message.body(), JsonNode.class, ResultCode.RESOURCE_INVALID);
         ConfigEntry written = store.put(key, expected, content);
         config.applyOwn(written);
-        return withTag(expected.isPresent() ? OK : CREATED, written);
+        return replyWithETag(expected.isPresent() ? OK : CREATED, written);
     }
 
-    private void checkContent(ResourceKind kind, String name, Object spec)
+    private void checkSpec(ResourceKind kind, String name, Object spec)
     {
         switch (spec)
         {
             case PolicySpec policy -> policies.create(policy);
             case ComparisonSpec comparison -> {
-                existing(ResourceKind.POLICY, comparison.first());
-                existing(ResourceKind.POLICY, comparison.second());
+                requireExisting(ResourceKind.POLICY, comparison.first());
+                requireExisting(ResourceKind.POLICY, comparison.second());
             }
-            case TeamSpec team -> checkHomeHallKept(kind, name, team);
+            case TeamSpec team -> checkHomeHallUnchanged(kind, name, team);
             default -> {
                 // the record's own checks are enough
             }
@@ -121,22 +121,22 @@
     }
 
     /** Keys are remembered in the home hall, so a team that moved could have a key run in both. */
-    private void checkHomeHallKept(ResourceKind kind, String name, TeamSpec next)
+    private void checkHomeHallUnchanged(ResourceKind kind, String name, TeamSpec next)
     {
-        Optional<ConfigEntry> held = config.get(StoreKeys.resource(kind, name));
-        if (held.isEmpty())
+        Optional<ConfigEntry> current = config.get(StoreKeys.resource(kind, name));
+        if (current.isEmpty())
         {
             return;
         }
-        JsonNode hall = envelopeOf(held.get()).spec().path("homeHall");
-        if (!hall.asText().equals(next.homeHall()))
+        JsonNode currentHall = parseEnvelope(current.get()).spec().path("homeHall");
+        if (!currentHall.asText().equals(next.homeHall()))
         {
             throw new GaugehollowException(ResultCode.FIELD_IMMUTABLE,
-                    "homeHall may not change from " + hall.asText());
+                    "homeHall may not change from " + currentHall.asText());
         }
     }
 
-    private String checkUnused(ResourceKind kind, String name)
+    private String requireUnused(ResourceKind kind, String name)
     {
         if (kind != ResourceKind.POLICY)
         {
@@ -144,7 +144,7 @@
         }
         for (ConfigEntry entry : config.list(ResourceKind.COMPARISON.plural() + '/'))
         {
-            JsonNode spec = envelopeOf(entry).spec();
+            JsonNode spec = parseEnvelope(entry).spec();
             if (name.equals(spec.path("first").asText()) || name.equals(spec.path("second").asText()))
             {
                 throw new GaugehollowException(ResultCode.RESOURCE_IN_USE,
@@ -156,85 +156,87 @@
 
     private void watch(HttpExchange exchange, ResourceKind kind) throws InterruptedException
     {
-        long from = exchange.request().parameter("from").map(ResourceApi::number).orElseGet(config::revision);
+        long lastRevision = exchange.request().parameter("from").map(ResourceApi::parseNumber)
+                .orElseGet(config::revision);
         exchange.startLines();
         while (exchange.isOpen())
         {
-            Optional<List<ConfigEntry>> changes = config.awaitAfter(from, HEARTBEAT_NANOS);
+            Optional<List<ConfigEntry>> changes = config.awaitAfter(lastRevision, HEARTBEAT_INTERVAL_NANOS);
             if (changes.isEmpty())
             {
-                String text = "revision " + from + " is no longer held; list again and watch from there";
-                exchange.writeLine(Json.write(new WatchLine("ERROR", from, null, text)));
+                String message = "revision " + lastRevision
+                        + " is no longer held; list again and watch from there";
+                exchange.writeLine(Json.write(new WatchLine("ERROR", lastRevision, null, message)));
                 exchange.endLines();
                 return;
             }
             for (ConfigEntry change : changes.get())
             {
-                from = change.revision();
+                lastRevision = change.revision();
                 if (change.name().startsWith(kind.plural() + '/'))
                 {
-                    exchange.writeLine(Json.write(lineOf(change)));
+                    exchange.writeLine(Json.write(toWatchLine(change)));
                 }
             }
             if (changes.get().isEmpty())
             {
-                exchange.writeLine(Json.write(new WatchLine("HEARTBEAT", from, null, null)));
+                exchange.writeLine(Json.write(new WatchLine("HEARTBEAT", lastRevision, null, null)));
             }
         }
     }
 
-    private static WatchLine lineOf(ConfigEntry change)
+    private static WatchLine toWatchLine(ConfigEntry change)
     {
         if (!change.deleted())
         {
-            return new WatchLine("PUT", change.revision(), viewOf(change), null);
+            return new WatchLine("PUT", change.revision(), toView(change), null);
         }
         int slash = change.name().indexOf('/');
-        ResourceView gone = new ResourceView(change.name().substring(0, slash),
+        ResourceView deleted = new ResourceView(change.name().substring(0, slash),
                 change.name().substring(slash + 1), change.revision(), null, null);
-        return new WatchLine("DELETE", change.revision(), gone, null);
+        return new WatchLine("DELETE", change.revision(), deleted, null);
     }
 
-    private ConfigEntry existing(ResourceKind kind, String name)
+    private ConfigEntry requireExisting(ResourceKind kind, String name)
     {
         return config.get(StoreKeys.resource(kind, name))
                 .orElseThrow(() -> new GaugehollowException(ResultCode.RESOURCE_NOT_FOUND,
                         kind.plural() + '/' + name + " is not there"));
     }
 
-    private static HttpReply withTag(int status, ConfigEntry entry)
+    private static HttpReply replyWithETag(int status, ConfigEntry entry)
     {
-        HttpReply reply = HttpReply.json(status, viewOf(entry));
+        HttpReply reply = HttpReply.json(status, toView(entry));
         reply.headers().set(HttpHeaderNames.ETAG, "\"" + entry.revision() + '"');
         return reply;
     }
 
-    private static ResourceView viewOf(ConfigEntry entry)
+    private static ResourceView toView(ConfigEntry entry)
     {
         int slash = entry.name().indexOf('/');
-        Envelope envelope = envelopeOf(entry);
+        Envelope envelope = parseEnvelope(entry);
         return new ResourceView(entry.name().substring(0, slash), entry.name().substring(slash + 1),
                 entry.revision(), envelope.writeId(), envelope.spec());
     }
 
-    private static Envelope envelopeOf(ConfigEntry entry)
+    private static Envelope parseEnvelope(ConfigEntry entry)
     {
         return Json.read(entry.envelope(), Envelope.class, ResultCode.STORE_BAD_ANSWER);
     }
 
-    private static Optional<Long> revisionOf(HttpMessage message)
+    private static Optional<Long> parseRevision(HttpMessage message)
     {
         return message.header(HttpHeaderNames.IF_MATCH.toString())
-                .map(tag -> number(tag.replace("\"", "").trim()));
+                .map(tag -> parseNumber(tag.replace("\"", "").trim()));
     }
 
     private static long requiredRevision(HttpMessage message)
     {
-        return revisionOf(message).orElseThrow(() -> new GaugehollowException(ResultCode.REVISION_REQUIRED,
+        return parseRevision(message).orElseThrow(() -> new GaugehollowException(ResultCode.REVISION_REQUIRED,
                 "send the resource's revision as If-Match"));
     }
 
-    static long number(String text)
+    static long parseNumber(String text)
     {
         try
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/RetryBudget.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/RetryBudget.java
@@ -10,30 +10,30 @@
  */
 final class RetryBudget
 {
-    private static final int PERCENT = 100;
-    private static final int MOST_SAVED = 50 * PERCENT;
+    private static final int RETRY_COST = 100;
+    private static final int MAX_BALANCE = 50 * RETRY_COST;
 
     private final int retryPercent;
-    private int saved;
+    private int balance;
 
     RetryBudget(int retryPercent)
     {
         this.retryPercent = retryPercent;
-        this.saved = MOST_SAVED;
+        this.balance = MAX_BALANCE;
     }
 
-    synchronized void requestArrived()
+    synchronized void recordRequest()
     {
-        saved = Math.min(MOST_SAVED, saved + retryPercent);
+        balance = Math.min(MAX_BALANCE, balance + retryPercent);
     }
 
-    synchronized boolean tryRetry()
+    synchronized boolean tryAcquire()
     {
-        if (saved < PERCENT)
+        if (balance < RETRY_COST)
         {
             return false;
         }
-        saved -= PERCENT;
+        balance -= RETRY_COST;
         return true;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/WorkerKeeper.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/UpstreamManager.java
@@ -27,24 +27,24 @@
  * Starts and ends the work with each worker as the hall's map gives it to this box or takes it
  * away. Thread-safe.
  */
-final class WorkerKeeper
+final class UpstreamManager
 {
     private final String self;
-    private final AssignmentMaps halls;
+    private final AssignmentMaps assignmentMaps;
     private final RosterCache roster;
     private final PlacementEngine engine;
     private final Rights rights;
     private final NetLoops loops;
     private final Supervisor supervisor;
     private final EventLog events;
-    private final Map<String, OwnedUpstream> owned = new HashMap<>();
-    private final Set<String> withheld = new HashSet<>();
+    private final Map<String, OwnedUpstream> ownedUpstreams = new HashMap<>();
+    private final Set<String> cordoned = new HashSet<>();
 
-    WorkerKeeper(String self, AssignmentMaps halls, RosterCache roster, PlacementEngine engine, Rights rights,
-            NetLoops loops, Supervisor supervisor, EventLog events)
+    UpstreamManager(String self, AssignmentMaps assignmentMaps, RosterCache roster, PlacementEngine engine,
+            Rights rights, NetLoops loops, Supervisor supervisor, EventLog events)
     {
         this.self = self;
-        this.halls = halls;
+        this.assignmentMaps = assignmentMaps;
         this.roster = roster;
         this.engine = engine;
         this.rights = rights;
@@ -54,28 +54,28 @@
     }
 
     /** Makes the owned workers match map and list. */
-    synchronized void match()
+    synchronized void reconcile()
     {
-        Map<String, AssignmentMap.Assignment> assigned = halls.map().map(AssignmentMap::workers)
+        Map<String, AssignmentMap.Assignment> assigned = assignmentMaps.map().map(AssignmentMap::workers)
                 .orElse(Map.of());
-        for (String id : Set.copyOf(owned.keySet()))
+        for (String id : Set.copyOf(ownedUpstreams.keySet()))
         {
-            AssignmentMap.Assignment now = assigned.get(id);
-            boolean kept = now != null && now.box().equals(self) && now.epoch() == owned.get(id).epoch()
-                    && sameWorker(id);
-            if (!kept)
+            AssignmentMap.Assignment current = assigned.get(id);
+            boolean unchanged = current != null && current.box().equals(self)
+                    && current.epoch() == ownedUpstreams.get(id).epoch() && isUnchanged(id);
+            if (!unchanged)
             {
-                end(id);
+                stop(id);
             }
         }
         assigned.forEach((id, assignment) ->
         {
-            if (assignment.box().equals(self) && !withheld.contains(id) && !owned.containsKey(id))
+            if (assignment.box().equals(self) && !cordoned.contains(id) && !ownedUpstreams.containsKey(id))
             {
-                roster.worker(id).ifPresent(worker -> begin(worker, assignment.epoch()));
+                roster.worker(id).ifPresent(worker -> start(worker, assignment.epoch()));
             }
         });
-        owned.forEach(
+        ownedUpstreams.forEach(
                 (id, upstream) -> roster.worker(id).ifPresent(w -> upstream.setListedAsLeaving(w.leaving())));
     }
 
@@ -83,12 +83,11 @@
      * A worker that the list no longer names stays as it was; one that came back elsewhere is another
      * one.
      */
-    private boolean sameWorker(String id)
+    private boolean isUnchanged(String id)
     {
-        Worker held = owned.get(id).worker();
-        return roster.worker(id)
-                .map(now -> now.address().equals(held.address()) && now.capacity().equals(held.capacity()))
-                .orElse(true);
+        Worker current = ownedUpstreams.get(id).worker();
+        return roster.worker(id).map(listed -> listed.address().equals(current.address())
+                && listed.capacity().equals(current.capacity())).orElse(true);
     }
 
     /**
@@ -97,28 +96,28 @@
      *
      * @param workers their ids
      */
-    synchronized void withhold(Collection<String> workers)
+    synchronized void cordon(Collection<String> workers)
     {
-        withheld.addAll(workers);
-        setWithheld(true);
+        cordoned.addAll(workers);
+        setCordoned(true);
     }
 
     /** Uses withheld workers again where the map still gives them to this box. */
-    synchronized void releaseWithheld()
+    synchronized void uncordonAll()
     {
-        setWithheld(false);
-        withheld.clear();
-        match();
+        setCordoned(false);
+        cordoned.clear();
+        reconcile();
     }
 
-    private void setWithheld(boolean value)
+    private void setCordoned(boolean value)
     {
-        for (String id : withheld)
+        for (String id : cordoned)
         {
-            OwnedUpstream upstream = owned.get(id);
+            OwnedUpstream upstream = ownedUpstreams.get(id);
             if (upstream != null)
             {
-                upstream.setWithheld(value);
+                upstream.setCordoned(value);
             }
         }
     }
@@ -129,21 +128,21 @@
      */
     synchronized Optional<OwnedUpstream> upstream(String worker)
     {
-        return withheld.contains(worker) ? Optional.empty() : Optional.ofNullable(owned.get(worker));
+        return cordoned.contains(worker) ? Optional.empty() : Optional.ofNullable(ownedUpstreams.get(worker));
     }
 
-    private void begin(Worker worker, long epoch)
+    private void start(Worker worker, long epoch)
     {
         UpstreamClient client = new UpstreamClient(loops, worker.id(), NetAddress.parse(worker.address()),
                 events);
         OwnedUpstream upstream = new OwnedUpstream(worker, epoch, self, client, engine, rights, events);
-        owned.put(worker.id(), upstream);
+        ownedUpstreams.put(worker.id(), upstream);
         supervisor.start(worker.id(), upstream);
     }
 
-    private void end(String id)
+    private void stop(String id)
     {
-        OwnedUpstream upstream = owned.remove(id);
+        OwnedUpstream upstream = ownedUpstreams.remove(id);
         supervisor.stop(id);
         upstream.close();
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamClient.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamClient.java
@@ -33,10 +33,10 @@
 public final class UpstreamClient implements AutoCloseable
 {
     /** The largest answer passed on. */
-    public static final int LARGEST_ANSWER = 1 << 20;
-    private static final int MOST_IDLE = 60;
-    private static final int CONNECT_MILLIS = 500;
-    private static final int CONTROL_MILLIS = 1_000;
+    public static final int MAX_ANSWER_BYTES = 1 << 20;
+    private static final int MAX_IDLE_CONNECTIONS = 60;
+    private static final int CONNECT_TIMEOUT_MILLIS = 500;
+    private static final int CONTROL_TIMEOUT_MILLIS = 1_000;
     private static final int OK = 200;
     private static final int CONFLICT = 409;
 
@@ -56,7 +56,7 @@
         this.worker = worker;
         this.events = events;
         this.control = new HttpCaller(loops, target);
-        this.connections = new HttpConnectionPool(loops, target, MOST_IDLE);
+        this.connections = new HttpConnectionPool(loops, target, MAX_IDLE_CONNECTIONS);
     }
 
     /** @return the upstream's address */
@@ -80,24 +80,24 @@
     public HttpReply run(UpstreamRequest request, long epoch, long deadlineNanos, BooleanSupplier maySend)
             throws InterruptedException
     {
-        HttpConnection connection = connections.acquire(connectMillis(deadlineNanos));
-        boolean keep = false;
+        HttpConnection connection = connections.acquire(connectTimeoutMillis(deadlineNanos));
+        boolean reusable = false;
         try
         {
-            HttpReply reply = connection.exchangeIf(maySend, messageOf(request, epoch), deadlineNanos,
-                    LARGEST_ANSWER);
-            if (isRepetition(connection, request, reply))
+            HttpReply reply = connection.exchangeIf(maySend, toMessage(request, epoch), deadlineNanos,
+                    MAX_ANSWER_BYTES);
+            if (isDuplicateAnswer(connection, request, reply))
             {
-                reply = connection.awaitAnswer(deadlineNanos, LARGEST_ANSWER);
+                reply = connection.awaitAnswer(deadlineNanos, MAX_ANSWER_BYTES);
             }
-            keep = checkTask(request, reply);
+            reusable = checkTaskId(request, reply);
             connection.setLastExchange(request.task());
-            checkRan(reply);
+            checkNotRejected(reply);
             return reply;
         }
         finally
         {
-            connections.release(connection, keep);
+            connections.release(connection, reusable);
         }
     }
 
@@ -111,12 +111,13 @@
      */
     public UpstreamReport claim(UpstreamClaim claim) throws InterruptedException
     {
-        HttpReply reply = control.call("POST", "/gaugehollow/claim", Json.write(claim), CONTROL_MILLIS);
+        HttpReply reply = control.call("POST", "/gaugehollow/claim", Json.write(claim),
+                CONTROL_TIMEOUT_MILLIS);
         if (reply.status() == CONFLICT)
         {
             throw new GaugehollowException(ResultCode.FENCED, worker + " has a newer owner");
         }
-        return reportOf(reply);
+        return parseReport(reply);
     }
 
     /**
@@ -128,10 +129,10 @@
      */
     public UpstreamReport report() throws InterruptedException
     {
-        return reportOf(control.call("GET", "/gaugehollow/tasks", new byte[0], CONTROL_MILLIS));
+        return parseReport(control.call("GET", "/gaugehollow/tasks", new byte[0], CONTROL_TIMEOUT_MILLIS));
     }
 
-    private UpstreamReport reportOf(HttpReply reply)
+    private UpstreamReport parseReport(HttpReply reply)
     {
         if (reply.status() != OK)
         {
@@ -141,13 +142,13 @@
         return Json.read(reply.body(), UpstreamReport.class, ResultCode.UPSTREAM_REFUSED);
     }
 
-    private static HttpMessage messageOf(UpstreamRequest request, long epoch)
+    private static HttpMessage toMessage(UpstreamRequest request, long epoch)
     {
         HttpHeaders headers = new DefaultHttpHeaders();
         headers.set(UpstreamHeaders.TASK, request.task());
         headers.set(UpstreamHeaders.EPOCH, epoch);
         headers.set(UpstreamHeaders.TEAM, request.team());
-        headers.set(UpstreamHeaders.NEEDS, needsText(request.needs()));
+        headers.set(UpstreamHeaders.NEEDS, formatNeeds(request.needs()));
         headers.set(HttpHeaderNames.CONTENT_TYPE, request.contentType());
         if (!request.key().isEmpty())
         {
@@ -156,7 +157,7 @@
         return new HttpMessage("POST", request.path(), "", headers, request.body());
     }
 
-    private static String needsText(ComputeResources needs)
+    private static String formatNeeds(ComputeResources needs)
     {
         return "slots=" + needs.slots() + ";cpuMillis=" + needs.cpuMillis() + ";memoryMib="
                 + needs.memoryMib() + ";accelerators=" + needs.accelerators();
@@ -165,34 +166,36 @@
     /**
      * Whether the upstream sent the answer to the request before once more; the right one may follow.
      */
-    private boolean isRepetition(HttpConnection connection, UpstreamRequest request, HttpReply reply)
+    private boolean isDuplicateAnswer(HttpConnection connection, UpstreamRequest request, HttpReply reply)
     {
-        String answered = reply.headers().get(UpstreamHeaders.TASK);
-        boolean repeated = answered != null && answered.equals(connection.lastExchange())
-                && !answered.equals(request.task());
-        if (repeated)
+        String answeredTask = reply.headers().get(UpstreamHeaders.TASK);
+        boolean duplicate = answeredTask != null && answeredTask.equals(connection.lastExchange())
+                && !answeredTask.equals(request.task());
+        if (duplicate)
         {
-            events.record(EventType.LATE_ANSWER_DROPPED, request.task(), "a second answer for " + answered);
+            events.record(EventType.LATE_ANSWER_DROPPED, request.task(),
+                    "a second answer for " + answeredTask);
         }
-        return repeated;
+        return duplicate;
     }
 
     /**
      * Returns whether the connection may be used again: only if the upstream names the task it answers.
      */
-    private boolean checkTask(UpstreamRequest request, HttpReply reply)
+    private boolean checkTaskId(UpstreamRequest request, HttpReply reply)
     {
-        String answered = reply.headers().get(UpstreamHeaders.TASK);
-        if (answered != null && !answered.equals(request.task()))
+        String answeredTask = reply.headers().get(UpstreamHeaders.TASK);
+        if (answeredTask != null && !answeredTask.equals(request.task()))
         {
-            events.record(EventType.LATE_ANSWER_DROPPED, request.task(), "the answer was for " + answered);
+            events.record(EventType.LATE_ANSWER_DROPPED, request.task(),
+                    "the answer was for " + answeredTask);
             throw new GaugehollowException(ResultCode.OUTCOME_UNKNOWN,
                     "the answer belonged to another request");
         }
-        return answered != null;
+        return answeredTask != null;
     }
 
-    private void checkRan(HttpReply reply)
+    private void checkNotRejected(HttpReply reply)
     {
         String reason = reply.headers().get(UpstreamHeaders.NOT_RUN);
         if (reason != null && reply.status() != OK)
@@ -202,10 +205,10 @@
         }
     }
 
-    private static int connectMillis(long deadlineNanos)
+    private static int connectTimeoutMillis(long deadlineNanos)
     {
-        long left = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - SteadyClock.nanos());
-        return (int) Math.clamp(left, 1, CONNECT_MILLIS);
+        long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - SteadyClock.nanos());
+        return (int) Math.clamp(remainingMillis, 1, CONNECT_TIMEOUT_MILLIS);
     }
 
     @Override
--- a/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamHealth.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamHealth.java
@@ -11,19 +11,19 @@
  */
 public final class UpstreamHealth
 {
-    private static final int FAILURES_OUT = 3;
+    private static final int FAILURE_THRESHOLD = 3;
 
-    private final int allSlots;
+    private final int totalSlots;
     private int failures;
     private int allowedSlots;
 
     /**
-     * @param allSlots how many slots the upstream has
+     * @param totalSlots how many slots the upstream has
      */
-    public UpstreamHealth(int allSlots)
+    public UpstreamHealth(int totalSlots)
     {
-        this.allSlots = allSlots;
-        this.allowedSlots = allSlots;
+        this.totalSlots = totalSlots;
+        this.allowedSlots = totalSlots;
     }
 
     /** A request was answered whole. */
@@ -40,7 +40,7 @@
     public synchronized boolean recordFailure()
     {
         failures++;
-        return failures >= FAILURES_OUT && takeOut();
+        return failures >= FAILURE_THRESHOLD && takeOutOfService();
     }
 
     /**
@@ -50,15 +50,15 @@
      */
     public synchronized boolean recordUnreachable()
     {
-        return takeOut();
+        return takeOutOfService();
     }
 
-    private boolean takeOut()
+    private boolean takeOutOfService()
     {
-        boolean wasIn = allowedSlots > 0;
+        boolean wasInService = allowedSlots > 0;
         allowedSlots = 0;
         failures = 0;
-        return wasIn;
+        return wasInService;
     }
 
     /**
@@ -68,9 +68,9 @@
      */
     public synchronized boolean recordProbe()
     {
-        boolean wasOut = allowedSlots == 0;
-        allowedSlots = wasOut ? 1 : Math.min(allSlots, allowedSlots * 2);
-        return wasOut;
+        boolean wasOutOfService = allowedSlots == 0;
+        allowedSlots = wasOutOfService ? 1 : Math.min(totalSlots, allowedSlots * 2);
+        return wasOutOfService;
     }
 
     /** @return how many slots may be used now; 0 where the upstream is out */
--- a/gaugehollow/src/test/java/org/gaugehollow/entry/KeyedRunnerTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/entry/KeyedRunnerTest.java
@@ -65,30 +65,30 @@
     private final Rights rights = new Rights(RIGHTS_MILLIS, RIGHTS_MILLIS, SteadyClock::nanos);
     private final PeerDirectory directory = new PeerDirectory(loops, events, metrics);
     private final PeerServer successor = new PeerServer(loops, new InetSocketAddress("127.0.0.1", 0), events,
-            call -> keep(call.getCopy()));
-    private volatile boolean keepsRecords = true;
-    private volatile boolean rightsEndWithTheCopy;
+            call -> answerCopy(call.getCopy()));
+    private volatile boolean acceptRecords = true;
+    private volatile boolean revokeRightsOnCopy;
     private KeyedRunner runner;
 
     @BeforeEach
-    void own()
+    void setUp()
     {
         rights.renew(SteadyClock.nanos());
         BoxIdentity self = new BoxIdentity(SELF, SELF, HALL, "127.0.0.1:1");
-        ConfigCache keeper = new ConfigCache();
-        AssignmentMaps halls = new AssignmentMaps(HALL, keeper, events);
-        keeper.applyOwn(new ConfigEntry(StoreKeys.hallMap(HALL), 1, Json.write(map(self)), false));
-        KeyTable table = new KeyTable(LIMITS, System::currentTimeMillis);
-        KeyReplicator copier = new KeyReplicator(self, halls, directory, table);
-        new KeyOwnership(SELF, table, new ReplicaTable(SELF), copier, System::currentTimeMillis, events)
-                .applyMap(map(self));
-        RequestSupport support = new RequestSupport(self, null, halls, rights, null, directory, null, metrics,
-                events);
-        runner = new KeyedRunner(support, table, copier, null);
+        ConfigCache cache = new ConfigCache();
+        AssignmentMaps assignmentMaps = new AssignmentMaps(HALL, cache, events);
+        cache.applyOwn(new ConfigEntry(StoreKeys.hallMap(HALL), 1, Json.write(map(self)), false));
+        KeyTable keyTable = new KeyTable(LIMITS, System::currentTimeMillis);
+        KeyReplicator replicator = new KeyReplicator(self, assignmentMaps, directory, keyTable);
+        new KeyOwnership(SELF, keyTable, new ReplicaTable(SELF), replicator, System::currentTimeMillis,
+                events).applyMap(map(self));
+        RequestSupport support = new RequestSupport(self, null, assignmentMaps, rights, null, directory, null,
+                metrics, events);
+        runner = new KeyedRunner(support, keyTable, replicator, null);
     }
 
     @AfterEach
-    void end()
+    void tearDown()
     {
         successor.close();
         directory.close();
@@ -109,20 +109,21 @@
         return new AssignmentMap(1, boxes, Map.of(), owners);
     }
 
-    private Frame.Builder keep(CopyCall call)
+    private Frame.Builder answerCopy(CopyCall call)
     {
-        boolean record = call.getRecordsCount() > 0;
-        if (record && rightsEndWithTheCopy)
+        boolean hasRecord = call.getRecordsCount() > 0;
+        if (hasRecord && revokeRightsOnCopy)
         {
             rights.revoke();
         }
-        return Frame.newBuilder().setCopyReply(CopyReply.newBuilder().setAccepted(!record || keepsRecords));
+        return Frame.newBuilder()
+                .setCopyReply(CopyReply.newBuilder().setAccepted(!hasRecord || acceptRecords));
     }
 
-    private Answer ask() throws InterruptedException
+    private Answer runRequest() throws InterruptedException
     {
         long deadline = SteadyClock.nanos() + TimeUnit.SECONDS.toNanos(5);
-        return runner.ask(new CallerRequest("task", "team", "goal", "key", System.currentTimeMillis(),
+        return runner.runOrJoin(new CallerRequest("task", "team", "goal", "key", System.currentTimeMillis(),
                 deadline, "text/plain", new byte[0], 0, false), WORKLOAD, TEAM);
     }
 
@@ -131,30 +132,30 @@
      * word of the key's owner, although another box may own the key by then and run an earlier ask.
      */
     @Test
-    void aBoxWhoseRightsHaveEndedGivesNoEvidenceThatTheKeyDidNotRun() throws InterruptedException
+    void rightsLostAfterReplicationGiveNoEvidenceOfNotRun() throws InterruptedException
     {
-        rightsEndWithTheCopy = true;
-        Answer answer = ask();
+        revokeRightsOnCopy = true;
+        Answer answer = runRequest();
         assertThat(Answers.codeOf(answer)).isEqualTo(ResultCode.NO_RIGHTS);
         assertThat(answer.getEvidence()).isFalse();
     }
 
     /** The same, where the copy failed while the rights ended. */
     @Test
-    void aBoxWhoseRightsEndedWhileNoCopyWasKeptGivesNoEvidence() throws InterruptedException
+    void rightsLostDuringFailedReplicationGiveNoEvidenceOfNotRun() throws InterruptedException
     {
-        keepsRecords = false;
-        rightsEndWithTheCopy = true;
-        Answer answer = ask();
-        assertThat(Answers.notRun(answer)).isTrue();
+        acceptRecords = false;
+        revokeRightsOnCopy = true;
+        Answer answer = runRequest();
+        assertThat(Answers.isNotRun(answer)).isTrue();
         assertThat(answer.getEvidence()).isFalse();
     }
 
     @Test
-    void theOwnerOfAKeyKnowsThatItDidNotRun() throws InterruptedException
+    void failedReplicationWithValidRightsIsEvidenceOfNotRun() throws InterruptedException
     {
-        keepsRecords = false;
-        Answer answer = ask();
+        acceptRecords = false;
+        Answer answer = runRequest();
         assertThat(Answers.codeOf(answer)).isEqualTo(ResultCode.NO_COPY);
         assertThat(answer.getEvidence()).isTrue();
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/entry/WorkerKeeperTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/entry/UpstreamManagerTest.java
@@ -54,15 +54,15 @@
 import org.junit.jupiter.api.Test;
 
 /** What runs on a worker is counted for as long as it runs, whatever happens to the ownership. */
-class WorkerKeeperTest
+class UpstreamManagerTest
 {
     private static final String WORKER = "w1";
     private static final String BOX = "bole-1";
     private static final long EPOCH = 3;
     private static final int SLOTS = 4;
     private static final ComputeResources ONE_SLOT = new ComputeResources(1, 0, 0, 0);
-    private static final long PATIENCE_NANOS = TimeUnit.SECONDS.toNanos(10);
-    private static final long STEP_MILLIS = 5;
+    private static final long TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(10);
+    private static final long POLL_MILLIS = 5;
     private static final long RIGHTS_MILLIS = 60_000;
 
     private final EventLog events = new EventLog(BOX, new HybridClock(System::currentTimeMillis));
@@ -72,32 +72,32 @@
     private final PlacementEngine engine = new PlacementEngine(EngineLimits.defaults(), policies(),
             SteadyClock::nanos);
     private final Set<String> running = ConcurrentHashMap.newKeySet();
-    private final CountDownLatch mayEnd = new CountDownLatch(1);
+    private final CountDownLatch finishTasks = new CountDownLatch(1);
     private final HttpServer server = new HttpServer(loops, new InetSocketAddress("127.0.0.1", 0), 1_000,
             events, this::answerAsWorker);
     private final RosterCache roster = new RosterCache("bole", List::of, () -> false, RIGHTS_MILLIS, events);
-    private WorkerKeeper keeper;
+    private UpstreamManager manager;
 
     @BeforeEach
-    void start() throws InterruptedException
+    void setUp() throws InterruptedException
     {
         rights.renew(SteadyClock.nanos());
-        ConfigCache configuration = new ConfigCache();
-        AssignmentMaps halls = new AssignmentMaps("bole", configuration, events);
+        ConfigCache cache = new ConfigCache();
+        AssignmentMaps assignmentMaps = new AssignmentMaps("bole", cache, events);
         AssignmentMap map = new AssignmentMap(EPOCH,
                 Map.of(BOX, new AssignmentMap.Member(BOX, "127.0.0.1:1")),
                 Map.of(WORKER, new AssignmentMap.Assignment(BOX, EPOCH)), List.of());
-        configuration.applyOwn(new ConfigEntry(StoreKeys.hallMap("bole"), 1, Json.write(map), false));
-        list(1, SLOTS);
-        keeper = new WorkerKeeper(BOX, halls, roster, engine, rights, loops, supervisor, events);
-        keeper.match();
+        cache.applyOwn(new ConfigEntry(StoreKeys.hallMap("bole"), 1, Json.write(map), false));
+        listWorker(1, SLOTS);
+        manager = new UpstreamManager(BOX, assignmentMaps, roster, engine, rights, loops, supervisor, events);
+        manager.reconcile();
         await(() -> engine.free().slots() == SLOTS);
     }
 
     @AfterEach
-    void stop()
+    void tearDown()
     {
-        mayEnd.countDown();
+        finishTasks.countDown();
         supervisor.close();
         server.close();
         loops.close();
@@ -109,7 +109,7 @@
                 new PolicyRegistry().create(new PolicySpec("waiting-first", null, null))));
     }
 
-    private void list(long version, int slots)
+    private void listWorker(long version, int slots)
     {
         String address = "127.0.0.1:" + server.address().getPort();
         Worker worker = new Worker(WORKER, address, "bole", "r1",
@@ -138,7 +138,7 @@
     {
         String task = exchange.request().header(UpstreamHeaders.TASK).orElseThrow();
         running.add(task);
-        mayEnd.await();
+        finishTasks.await();
         running.remove(task);
         HttpReply reply = HttpReply.json(200, Map.of());
         reply.headers().set(UpstreamHeaders.TASK, task);
@@ -161,7 +161,7 @@
     private void startTask(String task) throws InterruptedException
     {
         Placement placement = place(task);
-        OwnedUpstream upstream = keeper.upstream(WORKER).orElseThrow();
+        OwnedUpstream upstream = manager.upstream(WORKER).orElseThrow();
         Thread.ofVirtual().start(() ->
         {
             try
@@ -178,7 +178,7 @@
 
     private static long deadline()
     {
-        return SteadyClock.nanos() + PATIENCE_NANOS;
+        return SteadyClock.nanos() + TIMEOUT_NANOS;
     }
 
     private static void await(BooleanSupplier condition) throws InterruptedException
@@ -187,45 +187,45 @@
         while (!condition.getAsBoolean())
         {
             assertThat(SteadyClock.nanos() - until < 0).isTrue();
-            Thread.sleep(STEP_MILLIS);
+            Thread.sleep(POLL_MILLIS);
         }
     }
 
     @Test
-    void whatRunsOnAWithheldWorkerStillCountsWhenItIsUsedAgain() throws InterruptedException
+    void tasksOfACordonedWorkerCountAfterUncordoning() throws InterruptedException
     {
         startTask("before");
-        keeper.withhold(List.of(WORKER));
-        assertThat(keeper.upstream(WORKER).isPresent()).isFalse();
+        manager.cordon(List.of(WORKER));
+        assertThat(manager.upstream(WORKER).isPresent()).isFalse();
         assertThat(engine.free().slots()).isEqualTo(0);
-        keeper.releaseWithheld();
+        manager.uncordonAll();
         await(() -> engine.free().slots() > 0);
         assertThat(engine.free().slots()).isEqualTo(SLOTS - 1);
-        mayEnd.countDown();
+        finishTasks.countDown();
         await(() -> engine.free().slots() == SLOTS);
     }
 
     @Test
-    void whatRunsOnAWorkerWhoseCapacityChangedStillCounts() throws InterruptedException
+    void tasksOfAWorkerCountAfterItsCapacityChanges() throws InterruptedException
     {
         startTask("before");
-        list(2, SLOTS + 2);
-        keeper.match();
+        listWorker(2, SLOTS + 2);
+        manager.reconcile();
         await(() -> engine.free().slots() > SLOTS - 1);
         assertThat(engine.free().slots()).isEqualTo(SLOTS + 2 - 1);
-        mayEnd.countDown();
+        finishTasks.countDown();
         await(() -> engine.free().slots() == SLOTS + 2);
     }
 
     @Test
-    void aPlacementMadeBeforeTheWorkerIsWithheldIsNotSent() throws InterruptedException
+    void placementMadeBeforeCordoningIsNotSent() throws InterruptedException
     {
         Placement placement = place("late");
-        OwnedUpstream upstream = keeper.upstream(WORKER).orElseThrow();
-        keeper.withhold(List.of(WORKER));
-        GaugehollowException refused = assertThrows(GaugehollowException.class,
+        OwnedUpstream upstream = manager.upstream(WORKER).orElseThrow();
+        manager.cordon(List.of(WORKER));
+        GaugehollowException rejection = assertThrows(GaugehollowException.class,
                 () -> send(upstream, placement));
-        assertThat(refused.code()).isEqualTo(ResultCode.NO_RIGHTS);
+        assertThat(rejection.code()).isEqualTo(ResultCode.NO_RIGHTS);
         assertThat(running).isEmpty();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/upstream/UpstreamClientTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/upstream/UpstreamClientTest.java
@@ -28,8 +28,8 @@
 /** Whether a request may be sent is asked as late as can be. */
 class UpstreamClientTest
 {
-    private static final int QUIET_MILLIS = 300;
-    private static final int END = -1;
+    private static final int READ_TIMEOUT_MILLIS = 300;
+    private static final int END_OF_STREAM = -1;
     private static final UpstreamRequest REQUEST = new UpstreamRequest("task-1", "team", "", "/run",
             new ComputeResources(1, 0, 0, 0), "text/plain", new byte[0]);
 
@@ -37,12 +37,12 @@
     private final NetLoops loops = new NetLoops(Optional.empty());
 
     @AfterEach
-    void stop()
+    void tearDown()
     {
         loops.close();
     }
 
-    private static Optional<Socket> accepted(ServerSocket listener)
+    private static Optional<Socket> tryAccept(ServerSocket listener)
     {
         try
         {
@@ -55,27 +55,27 @@
     }
 
     @Test
-    void rightsThatEndWhileTheConnectionOpensKeepTheRequestBack() throws IOException
+    void rightsLostWhileConnectingPreventTheRequest() throws IOException
     {
         try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getLoopbackAddress());
                 UpstreamClient client = new UpstreamClient(loops, "w1",
                         new InetSocketAddress(listener.getInetAddress(), listener.getLocalPort()), events))
         {
-            listener.setSoTimeout(QUIET_MILLIS);
+            listener.setSoTimeout(READ_TIMEOUT_MILLIS);
             Optional<?>[] connection = new Optional<?>[1];
             long deadline = SteadyClock.nanos() + TimeUnit.SECONDS.toNanos(3);
-            GaugehollowException refused = assertThrows(GaugehollowException.class,
+            GaugehollowException rejection = assertThrows(GaugehollowException.class,
                     () -> client.run(REQUEST, 1, deadline, () ->
                     {
-                        connection[0] = accepted(listener);
+                        connection[0] = tryAccept(listener);
                         return false;
                     }));
-            assertThat(refused.code()).isEqualTo(ResultCode.NO_RIGHTS);
+            assertThat(rejection.code()).isEqualTo(ResultCode.NO_RIGHTS);
             assertThat(connection[0].isPresent()).isTrue();
             try (Socket socket = (Socket) connection[0].get())
             {
-                socket.setSoTimeout(QUIET_MILLIS);
-                assertThat(socket.getInputStream().read()).isEqualTo(END);
+                socket.setSoTimeout(READ_TIMEOUT_MILLIS);
+                assertThat(socket.getInputStream().read()).isEqualTo(END_OF_STREAM);
             }
         }
     }
