--- a/gaugehollow/src/main/java/org/gaugehollow/entry/Answers.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/Answers.java
@@ -14,7 +14,7 @@
 
 import io.netty.handler.codec.http.HttpHeaderNames;
 
-/** Makes and reads the answers that travel between boxes. */
+/** Creates and reads the answers that boxes exchange. */
 final class Answers
 {
     private static final String DEFAULT_CONTENT_TYPE = "application/octet-stream";
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/BoxReport.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/BoxReport.java
@@ -10,21 +10,21 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * What a box says of itself to operators.
+ * The status of a box for operators.
  *
- * @param box its id
- * @param hall its hall
- * @param ready whether it serves
- * @param rights valid, frozen or none
- * @param storeAnswers whether the store answered its last call
- * @param configRevision the configuration in force
- * @param mapEpoch the epoch of the hall's map
- * @param boxes the boxes of the map and whether each can be reached
- * @param workers the workers it owns
- * @param keySlots how many key slots it owns
- * @param keyRecords how many key records it keeps
- * @param free what its workers have free
- * @param waiting how many requests wait
+ * @param box the id of the box
+ * @param hall the hall of the box
+ * @param ready whether the box accepts requests
+ * @param rights the state of the rights: valid, frozen or none
+ * @param storeAnswers whether the last call of the store was answered
+ * @param configRevision the revision of the active configuration
+ * @param mapEpoch the epoch of the assignment map of the hall
+ * @param boxes the boxes in the assignment map and whether each is reachable
+ * @param workers the workers that the box owns
+ * @param keySlots the number of key slots that the box owns
+ * @param keyRecords the number of key records on the box
+ * @param free the free resources of the workers
+ * @param waiting the number of waiting requests
  */
 record BoxReport(String box, String hall, boolean ready, String rights, boolean storeAnswers,
         long configRevision, long mapEpoch, Map<String, Boolean> boxes, List<String> workers, int keySlots,
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/CallerApi.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/CallerApi.java
@@ -27,7 +27,7 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** The callers' port: {@code POST /v1/workloads/NAME/requests}, answered on the same exchange. */
+/** HTTP API for callers: {@code POST /v1/workloads/NAME/requests}, answered synchronously. */
 final class CallerApi implements HttpHandler
 {
     private static final String PREFIX = "/v1/workloads/";
@@ -89,7 +89,7 @@
         if (key.length() > MAX_KEY_LENGTH || key.chars().anyMatch(c -> c < ' ' || c > '~'))
         {
             throw new GaugehollowException(ResultCode.BAD_REQUEST,
-                    "Idempotency-Key may have at most " + MAX_KEY_LENGTH + " printable ASCII characters");
+                    "Idempotency-Key must have at most " + MAX_KEY_LENGTH + " printable ASCII characters");
         }
         WorkloadSpec spec = findSpec(workload);
         long fallback = spec == null ? DEFAULT_TIMEOUT_MILLIS : spec.timeoutMillis();
@@ -112,7 +112,10 @@
         return current == null ? null : current.workload(workload).orElse(null);
     }
 
-    /** The time that the caller gives, or the one inside a version 7 UUID, or 0. */
+    /**
+     * Returns when the key was issued: the time in the header, else the time in a version 7 UUID, else
+     * 0.
+     */
     private static long parseKeyIssuedAt(HttpMessage message, String key)
     {
         long embedded = KeyTime.fromUuid(key);
@@ -133,7 +136,7 @@
         }
         catch (NumberFormatException e)
         {
-            throw new GaugehollowException(ResultCode.BAD_REQUEST, header + ": expected a whole number", e);
+            throw new GaugehollowException(ResultCode.BAD_REQUEST, header + ": expected an integer", e);
         }
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/CallerRequest.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/CallerRequest.java
@@ -9,19 +9,19 @@
 import org.gaugehollow.time.SteadyClock;
 
 /**
- * A caller's request on its way through the boxes.
+ * A request of a caller, as it is routed between boxes.
  *
- * @param task its id
- * @param team the caller's team
- * @param workload the workload asked for
- * @param key its key, or empty
- * @param keyIssuedAt when the caller made the key, in milliseconds since 1970; 0 where it did not
- *            say
- * @param deadlineNanos when the caller stops waiting, on this box's monotonic clock
- * @param contentType the body's media type
+ * @param task the id of the task
+ * @param team the team of the caller
+ * @param workload the requested workload
+ * @param key the idempotency key, or empty
+ * @param keyIssuedAt the time when the caller created the key, in milliseconds since 1970; 0 if
+ *            unknown
+ * @param deadlineNanos the time until which the caller waits, on the monotonic clock of this box
+ * @param contentType the media type of the body
  * @param body the body
- * @param hops how many boxes passed it on
- * @param firstAttempt whether the caller says that it never sent the key before
+ * @param hops the number of boxes that forwarded the request
+ * @param firstAttempt whether the caller declares that it never sent the key before
  */
 record CallerRequest(String task, String team, String workload, String key, long keyIssuedAt,
         long deadlineNanos, String contentType, byte[] body, int hops, boolean firstAttempt)
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/EntryBox.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/EntryBox.java
@@ -69,8 +69,9 @@
 import org.gaugehollow.time.SteadyClock;
 
 /**
- * One entry box: ties all parts together, starts them under a supervisor tree and stops them in a
- * planned way.
+ * An entry box: accepts requests of callers, places them on the upstreams that it owns and shares
+ * the ownership of upstreams and key slots with the other boxes of its data hall. Creates all
+ * components, runs them under a supervisor tree and stops them gracefully.
  */
 public final class EntryBox implements AutoCloseable
 {
@@ -117,9 +118,9 @@
     private final AtomicBoolean closed = new AtomicBoolean();
 
     /**
-     * Starts a box that reaches the platform by its usual protocols.
+     * Starts a box with connections to the store and the worker roster of the platform.
      *
-     * @param settings the checked settings
+     * @param settings the validated settings
      */
     public EntryBox(EntrySettings settings)
     {
@@ -265,7 +266,8 @@
     }
 
     /**
-     * A box that starts while the platform is silent takes everything from the boxes its settings name.
+     * Pulls the state from the seed boxes until an assignment map is known, so that a box can start
+     * while the platform is not available.
      */
     private void pullStateFromSeeds() throws InterruptedException
     {
@@ -286,7 +288,10 @@
         }
     }
 
-    /** Follows every map in order: a missed one would make copies of key records doubtful. */
+    /**
+     * Applies every assignment map in order, because a skipped map would make the replicas of key
+     * records unreliable.
+     */
     private void reconcileUntilStopped() throws InterruptedException
     {
         String previous = rightsState();
@@ -370,29 +375,30 @@
         return !leaving.get() && activeConfig.get() != null && assignmentMaps.map().isPresent();
     }
 
-    /** @return this box's id */
+    /** @return the id of this box */
     public String id()
     {
         return self.id();
     }
 
-    /** @return where callers reach it */
+    /** @return the address for callers */
     public InetSocketAddress callerAddress()
     {
         return callerServer.address();
     }
 
-    /** @return where operators reach it */
+    /** @return the address for operators */
     public InetSocketAddress operatorAddress()
     {
         return operatorServer.address();
     }
 
     /**
-     * Stops in a planned way: says that it is not ready, gives its workers and key slots to peers,
-     * answers what is in flight, and leaves the map. Bounded by the settings' drain time.
+     * Stops gracefully: reports that it is not ready, transfers its workers and key slots to peers,
+     * completes the requests in flight and leaves the assignment map. Takes at most the configured
+     * drain time.
      *
-     * @throws InterruptedException if the stop itself is interrupted
+     * @throws InterruptedException if the thread is interrupted
      */
     public void stop() throws InterruptedException
     {
@@ -437,7 +443,7 @@
         }
     }
 
-    /** A step of a planned stop. */
+    /** A step of the shutdown that may fail because the store is not available. */
     private interface ShutdownStep
     {
         void run() throws InterruptedException;
@@ -451,7 +457,7 @@
         }
         catch (GaugehollowException e)
         {
-            events.record(EventType.STORE_LOST, self.id(), "while stopping: " + e.getMessage());
+            events.record(EventType.STORE_LOST, self.id(), "shutdown step failed: " + e.getMessage());
         }
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/KeyTime.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/KeyTime.java
@@ -6,7 +6,7 @@
 
 import java.util.UUID;
 
-/** Reads the time that some keys carry. */
+/** Extracts the creation time from idempotency keys that contain one. */
 final class KeyTime
 {
     private static final int UUID_VERSION = 7;
@@ -17,7 +17,7 @@
     {
     }
 
-    /** The milliseconds since 1970 inside a version 7 UUID, or 0 for any other key. */
+    /** Returns the time in a version 7 UUID in milliseconds since 1970, or 0 for any other key. */
     static long fromUuid(String key)
     {
         if (key.length() != UUID_LENGTH)
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/KeyedRunner.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/KeyedRunner.java
@@ -21,9 +21,9 @@
 import org.gaugehollow.time.SteadyClock;
 
 /**
- * Runs requests that carry a key, on the box that owns the key's slot: the intent is noted and
- * copied to a second box before anything is dispatched; a second ask joins the run or gets its
- * recorded answer.
+ * Runs requests with an idempotency key on the box that owns the key slot. The key is recorded and
+ * replicated to a second box before the request is dispatched; a repeated request joins the run or
+ * gets its recorded answer.
  */
 final class KeyedRunner
 {
@@ -45,15 +45,15 @@
     }
 
     /**
-     * Answers one ask for a key of this box's slots.
+     * Runs the request if its key is new, otherwise waits for the answer of the run that exists.
      *
-     * @return the answer of the one run, or a refusal that says what is known of it
+     * @return the answer of the run, or an error that says what is known about it
      */
     Answer runOrJoin(CallerRequest request, WorkloadSpec workload, TeamSpec team) throws InterruptedException
     {
         if (!support.rights().isValid())
         {
-            return rejected(ResultCode.NO_RIGHTS, "this box may not decide on the key now", request);
+            return rejected(ResultCode.NO_RIGHTS, "this box has no valid rights to the key", request);
         }
         KeyTable.Registration registration;
         try
@@ -63,9 +63,9 @@
         }
         catch (GaugehollowException e)
         {
-            boolean notRunIsCertain = e.code() != ResultCode.KEY_MOVING;
+            boolean conclusive = e.code() != ResultCode.KEY_MOVING;
             return Answers.rejected(e, request.task(), support.self().id()).toBuilder()
-                    .setEvidence(notRunIsCertain).build();
+                    .setEvidence(conclusive).build();
         }
         if (registration.first())
         {
@@ -92,15 +92,18 @@
         catch (TimeoutException e)
         {
             return rejected(ResultCode.STILL_RUNNING,
-                    "the request still runs under task " + registration.entry().task(), request);
+                    "the request is still running as task " + registration.entry().task(), request);
         }
         catch (ExecutionException e)
         {
-            return rejected(ResultCode.INTERNAL, "a fault inside the box", request);
+            return rejected(ResultCode.INTERNAL, "internal error", request);
         }
     }
 
-    /** Without rights another box may own the key by now and have run an earlier ask. */
+    /**
+     * Returns whether this box still has valid rights. Without them, another box may have become the
+     * owner of the key and run an earlier attempt.
+     */
     private boolean hasValidRights()
     {
         return support.rights().isValid();
@@ -116,12 +119,12 @@
         catch (InterruptedException e)
         {
             Thread.currentThread().interrupt();
-            answer = rejected(ResultCode.OUTCOME_UNKNOWN, "the box stopped", request);
+            answer = rejected(ResultCode.OUTCOME_UNKNOWN, "the box is stopping", request);
         }
         catch (RuntimeException e)
         {
             support.events().record(EventType.INTERNAL_FAULT, request.task(), String.valueOf(e));
-            answer = rejected(ResultCode.INTERNAL, "a fault inside the box", request);
+            answer = rejected(ResultCode.INTERNAL, "internal error", request);
         }
         if (Answers.isNotRun(answer))
         {
@@ -148,7 +151,8 @@
         }
         if (!support.rights().isValid())
         {
-            return rejected(ResultCode.NO_RIGHTS, "this box's rights ended while it noted the key", request);
+            return rejected(ResultCode.NO_RIGHTS, "the rights of this box ended while the key was replicated",
+                    request);
         }
         return runner.run(request.withDeadline(runDeadline(request, workload)), workload, team);
     }
@@ -174,8 +178,8 @@
     }
 
     /**
-     * A caller that gives up early may ask again and should then find the answer, so the run goes on a
-     * little.
+     * Returns the deadline of the run, which may exceed the deadline of the caller so that a caller
+     * that retries after a short timeout finds the answer.
      */
     private static long runDeadline(CallerRequest request, WorkloadSpec workload)
     {
@@ -185,8 +189,8 @@
     }
 
     /**
-     * Copies a result. Without it a successor would know less, but nothing wrong, so a failure is let
-     * pass.
+     * Replicates the outcome of a run. Failures are only recorded, because a successor without
+     * the outcome still gives no wrong answer.
      */
     private void replicateOutcome(PeerProtocol.KeyRecord record)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/LocalRunner.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/LocalRunner.java
@@ -29,9 +29,9 @@
 import org.gaugehollow.upstream.UpstreamRequest;
 
 /**
- * Runs a request once: on a worker of this box, else on one of a peer that advertised room, else it
- * waits for room. Only a request that surely was not run is tried again, within budget and
- * deadline.
+ * Runs a request on a worker of this box or on a worker of a peer with free capacity, otherwise
+ * waits for capacity. Retries only requests that certainly did not run, within the retry budget and
+ * the deadline.
  */
 final class LocalRunner
 {
@@ -56,9 +56,9 @@
     }
 
     /**
-     * Runs a request here or through a peer.
+     * Runs a request on this box or on a peer.
      *
-     * @return the answer: answered, surely not run, or unknown
+     * @return the answer; its outcome is answered, not run or unknown
      */
     Answer run(CallerRequest request, WorkloadSpec workload, TeamSpec team) throws InterruptedException
     {
@@ -78,20 +78,20 @@
             }
             if (request.isExpired())
             {
-                return answer
-                        .orElseGet(() -> rejected(ResultCode.NO_ROOM, "no worker had room in time", request));
+                return answer.orElseGet(() -> rejected(ResultCode.NO_ROOM,
+                        "no worker had enough free capacity before the deadline", request));
             }
         }
     }
 
-    /** Runs a request on a worker of this box now, or says that it was not run. */
+    /** Runs a request on a worker of this box at once, or rejects it. */
     Answer tryRunLocally(CallerRequest request, WorkloadSpec workload, TeamSpec team)
             throws InterruptedException
     {
         Optional<Placement> placement = tryPlace(toDemand(request, workload, team));
         if (placement.isEmpty())
         {
-            return rejected(ResultCode.NO_ROOM, "no worker of this box has room", request);
+            return rejected(ResultCode.NO_ROOM, "no worker of this box has enough free capacity", request);
         }
         return dispatch(placement.get(), request, workload);
     }
@@ -171,7 +171,7 @@
         if (upstream.isEmpty())
         {
             engine.release(placement);
-            return rejected(ResultCode.NO_RIGHTS, "the worker has just changed owner", request);
+            return rejected(ResultCode.NO_RIGHTS, "the worker changed owner", request);
         }
         placements.add(placement);
         support.events().record(EventType.TASK_PLACED, request.task(), placement.worker());
@@ -191,7 +191,10 @@
         }
     }
 
-    /** The peers that last said they have room, those with most first; two are asked at most. */
+    /**
+     * Returns the addresses of the peers with enough free capacity in their last status, most free
+     * slots first.
+     */
     private List<String> peersWithCapacity(ComputeResources needs)
     {
         Map<String, BoxStatus> statuses = support.peers().reachableStatuses();
@@ -220,8 +223,8 @@
                 team.maxRunning(), workload.needs(), request.deadlineNanos());
     }
 
-    private Answer rejected(ResultCode code, String upstreamRequest, CallerRequest request)
+    private Answer rejected(ResultCode code, String message, CallerRequest request)
     {
-        return Answers.rejected(code, upstreamRequest, request.task(), support.self().id());
+        return Answers.rejected(code, message, request.task(), support.self().id());
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/OperatorApi.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/OperatorApi.java
@@ -20,7 +20,7 @@
 import org.gaugehollow.net.HttpHandler;
 import org.gaugehollow.net.HttpReply;
 
-/** The operators' port: resources, placements, time line, status, metrics and health. */
+/** HTTP API for operators: resources, placements, events, status, metrics and health. */
 final class OperatorApi implements HttpHandler
 {
     private static final int OK = 200;
@@ -80,7 +80,7 @@
         Optional<ResourceKind> kind = versioned ? ResourceKind.ofPlural(parts[KIND_INDEX]) : Optional.empty();
         if (kind.isEmpty() || parts.length > NAME_INDEX + 1)
         {
-            throw new GaugehollowException(ResultCode.UNKNOWN_PATH, "no such path");
+            throw new GaugehollowException(ResultCode.UNKNOWN_PATH, "unknown path");
         }
         if (parts.length == NAME_INDEX)
         {
@@ -103,8 +103,8 @@
                     HEARTBEAT_INTERVAL_NANOS);
             if (entries.isEmpty())
             {
-                exchange.writeLine(Json
-                        .write(new WatchLine("ERROR", lastSequence, null, "placements after it are gone")));
+                exchange.writeLine(Json.write(new WatchLine("ERROR", lastSequence, null,
+                        "placements after this sequence number are no longer retained")));
                 exchange.endLines();
                 return;
             }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/OwnedUpstream.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/OwnedUpstream.java
@@ -30,8 +30,8 @@
 import org.gaugehollow.upstream.UpstreamTask;
 
 /**
- * A worker that the map gives to this box. It is claimed first, what still runs there is counted,
- * and only then does it get work; afterwards it is asked every second what runs.
+ * A worker that the assignment map assigns to this box. The worker is claimed and its running tasks
+ * are counted before it gets work; afterwards it is probed periodically.
  */
 final class OwnedUpstream implements SupervisedTask, AutoCloseable
 {
@@ -47,17 +47,22 @@
     private final PlacementEngine engine;
     private final Rights rights;
     private final EventLog events;
-    /** Tasks whose outcome is unknown: they hold their room until the worker no longer names them. */
+    /**
+     * Placements with an unknown outcome and the time of their failure. They keep their resources
+     * reserved until the worker no longer reports the task.
+     */
     private final Map<Placement, Long> unresolved = new ConcurrentHashMap<>();
     private volatile boolean claimed;
-    /** Tasks that ran here before this claim, possibly under the same epoch. */
+    /**
+     * Tasks that were already running when this box claimed the worker, possibly under the same epoch.
+     */
     private volatile Set<String> inheritedTasks = Set.of();
     private volatile boolean closed;
     private volatile boolean cordoned;
     private boolean reachable = true;
     private volatile boolean leaving;
     private volatile boolean listedAsLeaving;
-    /** Whether the worker's last answer lets it have work; guarded by this. */
+    /** Whether the last report of the worker allows new work; guarded by this. */
     private boolean accepting;
 
     OwnedUpstream(Worker worker, long epoch, String box, UpstreamClient client, PlacementEngine engine,
@@ -84,7 +89,10 @@
         return epoch;
     }
 
-    /** The platform's list says whether the worker is leaving; its own word counts beside that. */
+    /**
+     * Sets whether the roster lists the worker as leaving. The worker is also leaving if it reports so
+     * itself.
+     */
     void setListedAsLeaving(boolean value)
     {
         listedAsLeaving = value;
@@ -94,10 +102,7 @@
         }
     }
 
-    /**
-     * Stops or resumes new work. What runs is counted all along, so that it still is when the worker is
-     * used again.
-     */
+    /** Stops or resumes placing tasks. Running tasks keep their resources reserved. */
     synchronized void setCordoned(boolean value)
     {
         cordoned = value;
@@ -129,10 +134,12 @@
     }
 
     /**
-     * Sends a request to the worker. Whether this box still may is checked directly before.
+     * Sends a request to the worker. The rights of this box are checked immediately before the request
+     * is written.
      *
-     * @return the worker's whole answer
-     * @throws GaugehollowException with a code whose outcome says whether the request may have run
+     * @return the complete answer of the worker
+     * @throws GaugehollowException if the request failed; the outcome of its code says whether the
+     *             request may have run
      */
     HttpReply send(Placement placement, UpstreamRequest request, long deadlineNanos)
             throws InterruptedException
@@ -222,7 +229,7 @@
         releaseResolved(report, requestedAt);
         if (report.leaving() && !leaving)
         {
-            events.record(EventType.WORKER_LEAVING, worker.id(), "by its own word");
+            events.record(EventType.WORKER_LEAVING, worker.id(), "reported by the worker");
         }
         leaving = report.leaving();
         if (health.recordProbe())
@@ -241,7 +248,10 @@
         engine.putWorker(worker.id(), epoch, usable, orphanUsage, accepting && !cordoned);
     }
 
-    /** What runs there and was started before this claim, by an earlier owner or by this box. */
+    /**
+     * Returns the resources of tasks that were started before this claim, by an earlier owner or by
+     * this box.
+     */
     private ComputeResources orphanUsage(UpstreamReport report)
     {
         ComputeResources total = ComputeResources.NONE;
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/PauseDetector.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/PauseDetector.java
@@ -13,10 +13,10 @@
 import org.gaugehollow.time.SteadyClock;
 
 /**
- * Notices that the process did not run for a while: its own ticks came late. Where the steady clock
- * does not count suspension, the wall clock that moved on while it stood still shows that;
- * elsewhere a step of the wall clock says nothing. Rights are then put aside until the store renews
- * them.
+ * Detects that the process was paused, because its own ticks came late. If the steady clock does
+ * not count time in suspension, a suspension is detected by the wall clock advancing more than the
+ * steady clock; otherwise changes of the wall clock are ignored. After a pause, the rights of this
+ * box are suspended or revoked until the store renews them.
  */
 final class PauseDetector implements SupervisedTask
 {
@@ -27,7 +27,14 @@
     private final Runnable renewNow;
     private final EventLog events;
 
-    /** pauseMillis: the least gap that counts as a pause. */
+    /**
+     * Creates a detector.
+     *
+     * @param minPauseMillis the minimum gap between ticks that counts as a pause, in milliseconds
+     * @param rights the rights to suspend or revoke
+     * @param renewNow starts a renewal of the rights
+     * @param events the event log
+     */
     PauseDetector(long minPauseMillis, Rights rights, Runnable renewNow, EventLog events)
     {
         this.minPauseMillis = minPauseMillis;
@@ -53,7 +60,7 @@
             if (wasSuspended)
             {
                 rights.revoke();
-                report(wallElapsed, "the monotonic clock stood still");
+                report(wallElapsed, "the monotonic clock did not advance");
             }
             else if (monotonicElapsed > minPauseMillis)
             {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/PeerCallHandler.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/PeerCallHandler.java
@@ -30,7 +30,7 @@
 
 import com.google.protobuf.ByteString;
 
-/** Answers the calls of peers. */
+/** Handles the calls of peers. */
 final class PeerCallHandler implements PeerHandler
 {
     private static final String DEFAULT_CONTENT_TYPE = "application/octet-stream";
@@ -54,7 +54,7 @@
         this.router = router;
     }
 
-    /** @return how many forwarded requests are being answered */
+    /** @return the number of forwarded requests in progress */
     int inFlight()
     {
         return inFlight.get();
@@ -70,8 +70,8 @@
             case COPY -> Frame.newBuilder()
                     .setCopyReply(CopyReply.newBuilder().setAccepted(replicas.applyCopy(call.getCopy())));
             case STATE -> state(call.getState());
-            default ->
-                throw new GaugehollowException(ResultCode.PEER_BAD_CALL, "not a call: " + call.getBodyCase());
+            default -> throw new GaugehollowException(ResultCode.PEER_BAD_CALL,
+                    "unsupported call: " + call.getBodyCase());
         };
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/PeerForwarder.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/PeerForwarder.java
@@ -14,7 +14,7 @@
 
 import com.google.protobuf.ByteString;
 
-/** Passes requests to peers and brings their answers back. */
+/** Forwards requests to peers and returns their answers. */
 final class PeerForwarder
 {
     private static final long REPLY_GRACE_MILLIS = 50;
@@ -27,13 +27,13 @@
     }
 
     /**
-     * Passes a request on.
+     * Forwards a request to a peer.
      *
-     * @param address the peer's address
+     * @param address the address of the peer
      * @param request the request
-     * @param placeOnly whether the peer is to run it on its own workers at once or say "not run"
-     * @return the peer's answer, or what is known if the peer was lost
-     * @throws InterruptedException if the process stops
+     * @param placeOnly whether the peer may only run the request at once on its own workers
+     * @return the answer of the peer, or an error if the peer did not answer
+     * @throws InterruptedException if the thread is interrupted
      */
     Answer forward(String address, CallerRequest request, boolean placeOnly) throws InterruptedException
     {
@@ -55,7 +55,10 @@
         }
     }
 
-    /** A fault that the peer itself reports without an outcome leaves open whether the request ran. */
+    /**
+     * Converts an error reply without an outcome to {@code PEER_LOST}, because the request may have
+     * run.
+     */
     private static GaugehollowException toForwardFailure(GaugehollowException e)
     {
         boolean outcomeKnown = e.code() == ResultCode.PEER_UNREACHABLE || e.code() == ResultCode.PEER_LOST
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/PlacementLog.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/PlacementLog.java
@@ -13,12 +13,12 @@
 
 import org.gaugehollow.placement.Placement;
 
-/** The newest placements of this box, numbered, for watches. Thread-safe. */
+/** Retains the latest placements of this box, numbered in sequence, for watches. Thread-safe. */
 final class PlacementLog
 {
     private static final int CAPACITY = 8192;
 
-    /** One placement as watches show it. */
+    /** A placement as it is written to watches. */
     record Entry(long sequence, String task, String team, String taskClass, String worker, long epoch,
             String policy, long waitedMicros)
     {
@@ -50,7 +50,14 @@
         }
     }
 
-    /** Waits for placements after the given number; nothing at all if they are no longer held. */
+    /**
+     * Waits for placements after a sequence number.
+     *
+     * @param sequence the sequence number
+     * @param timeoutNanos the maximum time to wait, in nanoseconds
+     * @return the placements; an empty list after the timeout; empty if they are no longer retained
+     * @throws InterruptedException if the thread is interrupted
+     */
     Optional<List<Entry>> awaitAfter(long sequence, long timeoutNanos) throws InterruptedException
     {
         lock.lock();
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/Rebalancer.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/Rebalancer.java
@@ -30,9 +30,9 @@
 import org.gaugehollow.supervise.SupervisedTask;
 
 /**
- * Gives workers and key slots to boxes that have fewer, or everything when this box leaves. Only
- * the owner itself gives: it stops using what it gives, hands the keys' records over, and then
- * changes the map.
+ * Transfers workers and key slots to boxes that own fewer, or all of them when this box leaves.
+ * Only the owner starts a transfer: it stops using the workers and slots, hands over the key
+ * records and then changes the assignment map.
  */
 final class Rebalancer implements SupervisedTask
 {
@@ -75,13 +75,13 @@
         }
     }
 
-    /** From now on everything is given away. */
+    /** Starts to transfer everything that this box owns. */
     void startLeaving()
     {
         leaving = true;
     }
 
-    /** @return whether the map has nothing left that belongs to this box */
+    /** @return whether this box owns no workers and no key slots */
     boolean ownsNothing()
     {
         return assignmentMaps.map()
@@ -111,7 +111,7 @@
         }
         catch (GaugehollowException e)
         {
-            events.record(EventType.TAKEOVER_WAITS, self.id(), "giving away waits: " + e.getMessage());
+            events.record(EventType.TAKEOVER_WAITS, self.id(), "rebalancing is delayed: " + e.getMessage());
         }
     }
 
@@ -136,7 +136,10 @@
         changeMap(current, workerTransfers, handedOver);
     }
 
-    /** The boxes that may receive, this one included, each with a count of zero. */
+    /**
+     * Returns the boxes that may receive workers and slots, including this one, each with a count of
+     * zero.
+     */
     private Map<String, Integer> receivers()
     {
         Map<String, Integer> counts = new TreeMap<>();
@@ -153,7 +156,10 @@
         return counts;
     }
 
-    /** Hands over the slots in which nothing runs; the others follow in a later round. */
+    /**
+     * Hands over the key records of slots without running requests. The other slots follow in a later
+     * round.
+     */
     private Map<Integer, String> handOverIdleSlots(AssignmentMap map, Map<Integer, String> transfers)
             throws InterruptedException
     {
@@ -198,8 +204,8 @@
     }
 
     /**
-     * A change whose answer was lost may still take effect, so nothing that it gives away is used until
-     * the map has moved past the revision that it started from.
+     * Settles a change of the map with an unknown outcome. The change may still take effect, so nothing
+     * that it transfers is used until the map has a newer revision.
      */
     private void settlePendingChange() throws InterruptedException
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/RequestRouter.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/RequestRouter.java
@@ -21,8 +21,8 @@
 import org.gaugehollow.time.SteadyClock;
 
 /**
- * Brings a request to where it is decided: one with a key to the box that owns the key's slot in
- * the team's home hall, any other one to this box's own runner.
+ * Routes requests: one with an idempotency key to the box that owns the key slot in the home hall
+ * of the team, any other to the local runner of this box.
  */
 final class RequestRouter
 {
@@ -31,8 +31,8 @@
     private static final long INITIAL_BACKOFF_MILLIS = 25;
     private static final long MAX_BACKOFF_MILLIS = 400;
     /**
-     * Hand-overs take less; a take-over takes longer, and its callers are better told when to come
-     * back.
+     * Maximum time of retries for a keyed request. Long enough for a planned transfer of a key slot;
+     * after the failure of an owner the caller is told when to retry instead.
      */
     private static final long MAX_RETRY_NANOS = TimeUnit.MILLISECONDS.toNanos(1_500);
 
@@ -52,11 +52,11 @@
     }
 
     /**
-     * Answers a caller's request.
+     * Routes a request of a caller.
      *
      * @param request the request
      * @return the answer
-     * @throws InterruptedException if the process stops
+     * @throws InterruptedException if the thread is interrupted
      */
     Answer route(CallerRequest request) throws InterruptedException
     {
@@ -78,12 +78,12 @@
     }
 
     /**
-     * Answers a request that a peer passed on.
+     * Routes a request that a peer forwarded.
      *
      * @param request the request
-     * @param placeOnly whether it is to run on this box's own workers at once or not at all
+     * @param placeOnly whether the request may only run at once on a worker of this box
      * @return the answer
-     * @throws InterruptedException if the process stops
+     * @throws InterruptedException if the thread is interrupted
      */
     Answer routeForwarded(CallerRequest request, boolean placeOnly) throws InterruptedException
     {
@@ -104,9 +104,9 @@
     }
 
     /**
-     * Asks the owner until it says what became of the key. Asking again is safe whatever happened to an
-     * earlier ask, because the owner runs a key once; but "not run" is true only if no earlier ask is
-     * open.
+     * Sends the request to the owner of the key and retries while the key slot may be changing owner.
+     * Retries are safe because the owner runs a key only once, but a "not run" answer is reliable only
+     * if no earlier attempt is still open.
      */
     private Answer routeKeyed(CallerRequest request, WorkloadSpec workload, TeamSpec team)
             throws InterruptedException
@@ -132,9 +132,9 @@
     }
 
     /**
-     * "Not run" speaks of the key, not only of this ask. So it is said only if the key's owner knows
-     * it, or the caller says that this is its first ask; and never while an earlier ask of this box may
-     * still arrive.
+     * Replaces a "not run" answer by {@code KEY_UNCERTAIN} unless it is certain for the key. It is
+     * certain if the owner of the key confirmed it or the caller declared its first attempt, and no
+     * earlier attempt of this box may still arrive.
      */
     private static Answer replaceUncertainNotRun(Answer answer, CallerRequest request,
             boolean earlierAttemptOpen)
@@ -147,7 +147,7 @@
         ResultCode code = ResultCode.KEY_UNCERTAIN;
         return answer.toBuilder().setCode(code.number()).setStatus(code.httpStatus())
                 .setRetryAfterMillis(Math.max(code.retryAfterMillis(), answer.getRetryAfterMillis()))
-                .setMessage("ask again with the same key: " + answer.getMessage()).build();
+                .setMessage("retry with the same key: " + answer.getMessage()).build();
     }
 
     private static boolean isRetryable(Answer answer)
@@ -169,7 +169,7 @@
         Optional<AssignmentMap> map = support.assignmentMaps().map();
         if (map.isEmpty())
         {
-            return rejected(ResultCode.KEY_MOVING, "the hall has no map yet", request);
+            return rejected(ResultCode.KEY_MOVING, "the hall has no assignment map yet", request);
         }
         String owner = map.get().slotOwners().get(KeySlots.slotOf(request.team(), request.key())).box();
         if (owner.equals(support.self().id()))
@@ -178,12 +178,12 @@
         }
         if (request.hops() >= MAX_HOPS)
         {
-            return rejected(ResultCode.KEY_MOVING, "the key's owner is changing", request);
+            return rejected(ResultCode.KEY_MOVING, "the owner of the key is changing", request);
         }
         return forwarder.forward(map.get().boxes().get(owner).peerAddress(), request, false);
     }
 
-    /** Any box of the hall passes the request on to the owner; two are tried. */
+    /** Forwards a request to a box of the home hall, which forwards it to the owner of the key. */
     private Answer forwardToHall(String hall, CallerRequest request) throws InterruptedException
     {
         List<AssignmentMap.Member> boxes = support.assignmentMaps().mapOf(hall)
@@ -218,13 +218,13 @@
     {
         return config.workload(request.workload())
                 .orElseThrow(() -> new GaugehollowException(ResultCode.UNKNOWN_WORKLOAD,
-                        "no workload \"" + request.workload() + "\" is in force"));
+                        "workload \"" + request.workload() + "\" is not in the active configuration"));
     }
 
     private static TeamSpec requireTeam(CallerRequest request, ActiveConfig config)
     {
         return config.team(request.team()).orElseThrow(() -> new GaugehollowException(ResultCode.UNKNOWN_TEAM,
-                "no team \"" + request.team() + "\" is in force"));
+                "team \"" + request.team() + "\" is not in the active configuration"));
     }
 
     private static void validate(CallerRequest request, WorkloadSpec workload)
@@ -232,12 +232,12 @@
         if (request.body().length > workload.maxBodyBytes())
         {
             throw new GaugehollowException(ResultCode.BODY_TOO_LARGE,
-                    "the workload takes bodies of at most " + workload.maxBodyBytes() + " bytes");
+                    "the maximum body size of the workload is " + workload.maxBodyBytes() + " bytes");
         }
         if (!workload.repeatable() && !request.hasKey())
         {
             throw new GaugehollowException(ResultCode.KEY_REQUIRED,
-                    "requests of this workload may not be repeated and need an Idempotency-Key");
+                    "requests of this workload are not repeatable and require an Idempotency-Key");
         }
         if (request.isExpired())
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/RequestSupport.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/RequestSupport.java
@@ -16,17 +16,17 @@
 import org.gaugehollow.peer.PeerDirectory;
 
 /**
- * What all parts of the request path share.
+ * Dependencies shared by the classes that process requests.
  *
- * @param self this box
- * @param activeConfig the resources in force
- * @param assignmentMaps the maps of the halls
- * @param rights this box's rights
- * @param peers the monitor of peers
- * @param directory the links to peers
- * @param retryBudget the budget of tries after "not run"
- * @param metrics counts requests
- * @param events the time line
+ * @param self the identity of this box
+ * @param activeConfig the active configuration; holds null until one is known
+ * @param assignmentMaps the assignment maps of the halls
+ * @param rights the rights of this box
+ * @param peers the peer monitor
+ * @param directory the connections to peers
+ * @param retryBudget the budget for retries
+ * @param metrics the request metrics
+ * @param events the event log
  */
 record RequestSupport(BoxIdentity self, AtomicReference<ActiveConfig> activeConfig,
         AssignmentMaps assignmentMaps, Rights rights, PeerMonitor peers, PeerDirectory directory,
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/ResourceApi.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/ResourceApi.java
@@ -33,7 +33,10 @@
 
 import io.netty.handler.codec.http.HttpHeaderNames;
 
-/** The operators' resources: list, get, create, change by revision, delete, watch. */
+/**
+ * Lists, reads, creates, updates, deletes and watches configuration resources. Updates and
+ * deletions name the expected revision.
+ */
 final class ResourceApi
 {
     private static final int OK = 200;
@@ -51,7 +54,7 @@
         this.policies = policies;
     }
 
-    /** Answers {@code /v1/KIND}: the list, or a watch. */
+    /** Handles {@code /v1/KIND}: lists or watches the resources of a kind. */
     void handleKind(HttpExchange exchange, ResourceKind kind) throws InterruptedException
     {
         HttpMessage message = exchange.request();
@@ -67,7 +70,7 @@
         exchange.respond(HttpReply.json(OK, Map.of("revision", revision, "items", items)));
     }
 
-    /** Answers {@code /v1/KIND/NAME}. */
+    /** Handles {@code /v1/KIND/NAME}: reads, writes or deletes a resource. */
     void handleResource(HttpExchange exchange, ResourceKind kind, String name) throws InterruptedException
     {
         HttpMessage message = exchange.request();
@@ -96,7 +99,7 @@
         if (expected.isEmpty() && config.get(key).isPresent())
         {
             throw new GaugehollowException(ResultCode.REVISION_REQUIRED, "the resource exists at revision "
-                    + config.get(key).get().revision() + "; send it as If-Match");
+                    + config.get(key).get().revision() + "; If-Match with this revision is required");
         }
         JsonNode content = Json.read(message.body(), JsonNode.class, ResultCode.RESOURCE_INVALID);
         ConfigEntry written = store.put(key, expected, content);
@@ -115,12 +118,15 @@
             }
             case TeamSpec team -> checkHomeHallUnchanged(kind, name, team);
             default -> {
-                // the record's own checks are enough
+                // the constructor validates the other kinds
             }
         }
     }
 
-    /** Keys are remembered in the home hall, so a team that moved could have a key run in both. */
+    /**
+     * Rejects a change of the home hall. Key records are kept in the home hall, so the same key could
+     * run in both halls after a change.
+     */
     private void checkHomeHallUnchanged(ResourceKind kind, String name, TeamSpec next)
     {
         Optional<ConfigEntry> current = config.get(StoreKeys.resource(kind, name));
@@ -132,7 +138,7 @@
         if (!currentHall.asText().equals(next.homeHall()))
         {
             throw new GaugehollowException(ResultCode.FIELD_IMMUTABLE,
-                    "homeHall may not change from " + currentHall.asText());
+                    "homeHall cannot be changed from " + currentHall.asText());
         }
     }
 
@@ -148,7 +154,7 @@
             if (name.equals(spec.path("first").asText()) || name.equals(spec.path("second").asText()))
             {
                 throw new GaugehollowException(ResultCode.RESOURCE_IN_USE,
-                        entry.name() + " compares this policy");
+                        entry.name() + " uses this policy");
             }
         }
         return name;
@@ -165,7 +171,7 @@
             if (changes.isEmpty())
             {
                 String message = "revision " + lastRevision
-                        + " is no longer held; list again and watch from there";
+                        + " is no longer retained; list the resources and watch from their revision";
                 exchange.writeLine(Json.write(new WatchLine("ERROR", lastRevision, null, message)));
                 exchange.endLines();
                 return;
@@ -201,7 +207,7 @@
     {
         return config.get(StoreKeys.resource(kind, name))
                 .orElseThrow(() -> new GaugehollowException(ResultCode.RESOURCE_NOT_FOUND,
-                        kind.plural() + '/' + name + " is not there"));
+                        kind.plural() + '/' + name + " does not exist"));
     }
 
     private static HttpReply replyWithETag(int status, ConfigEntry entry)
@@ -233,7 +239,7 @@
     private static long requiredRevision(HttpMessage message)
     {
         return parseRevision(message).orElseThrow(() -> new GaugehollowException(ResultCode.REVISION_REQUIRED,
-                "send the resource's revision as If-Match"));
+                "If-Match with the revision of the resource is required"));
     }
 
     static long parseNumber(String text)
@@ -244,7 +250,7 @@
         }
         catch (NumberFormatException e)
         {
-            throw new GaugehollowException(ResultCode.BAD_REQUEST, "expected a whole number as revision", e);
+            throw new GaugehollowException(ResultCode.BAD_REQUEST, "expected an integer as revision", e);
         }
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/ResourceView.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/ResourceView.java
@@ -7,13 +7,13 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * A resource as the operators' API shows it.
+ * A resource as returned by the operator API.
  *
- * @param kind the kind's plural
- * @param name its name
- * @param revision the revision to change it from
- * @param writeId the id of the write that made this version
- * @param spec its content
+ * @param kind the plural name of the kind
+ * @param name the name
+ * @param revision the revision of the last change
+ * @param writeId the id of the last write
+ * @param spec the specification
  */
 record ResourceView(String kind, String name, long revision, String writeId, JsonNode spec)
 {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/RetryBudget.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/RetryBudget.java
@@ -5,8 +5,8 @@
 package org.gaugehollow.entry;
 
 /**
- * Bounds the tries after "not run" to a share of the requests, so that failing upstreams do not
- * multiply the load. Thread-safe.
+ * Limits retries to a percentage of the requests, so that failing upstreams do not multiply the
+ * load. Thread-safe.
  */
 final class RetryBudget
 {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/UpstreamManager.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/UpstreamManager.java
@@ -23,10 +23,7 @@
 import org.gaugehollow.supervise.Supervisor;
 import org.gaugehollow.upstream.UpstreamClient;
 
-/**
- * Starts and ends the work with each worker as the hall's map gives it to this box or takes it
- * away. Thread-safe.
- */
+/** Manages the upstreams of this box according to the assignment map of the hall. Thread-safe. */
 final class UpstreamManager
 {
     private final String self;
@@ -53,7 +50,7 @@
         this.events = events;
     }
 
-    /** Makes the owned workers match map and list. */
+    /** Starts and stops upstreams so that they match the assignment map and the roster. */
     synchronized void reconcile()
     {
         Map<String, AssignmentMap.Assignment> assigned = assignmentMaps.map().map(AssignmentMap::workers)
@@ -80,8 +77,8 @@
     }
 
     /**
-     * A worker that the list no longer names stays as it was; one that came back elsewhere is another
-     * one.
+     * Returns whether the roster has the worker with the same address and capacity. A worker that is
+     * missing from the roster counts as unchanged.
      */
     private boolean isUnchanged(String id)
     {
@@ -91,10 +88,10 @@
     }
 
     /**
-     * Stops placing on workers that are about to be given away. Requests in flight there go on, and
-     * count until the map gives the workers to others.
+     * Stops placing tasks on workers that are about to be transferred. Requests in flight continue, and
+     * their resources stay reserved until the workers change owner.
      *
-     * @param workers their ids
+     * @param workers the ids of the workers
      */
     synchronized void cordon(Collection<String> workers)
     {
@@ -102,7 +99,7 @@
         setCordoned(true);
     }
 
-    /** Uses withheld workers again where the map still gives them to this box. */
+    /** Resumes placing tasks on cordoned workers that this box still owns. */
     synchronized void uncordonAll()
     {
         setCordoned(false);
@@ -123,8 +120,10 @@
     }
 
     /**
-     * @param worker a worker's id
-     * @return the worker, if this box owns it and it is not withheld
+     * Returns the upstream of a worker.
+     *
+     * @param worker the id of the worker
+     * @return the upstream, or empty if this box does not own the worker or the worker is cordoned
      */
     synchronized Optional<OwnedUpstream> upstream(String worker)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/WatchLine.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/WatchLine.java
@@ -5,12 +5,12 @@
 package org.gaugehollow.entry;
 
 /**
- * A line of a watch on resources.
+ * A line of a watch.
  *
  * @param type PUT, DELETE, HEARTBEAT or ERROR
- * @param revision the revision up to which everything was shown
- * @param resource the resource, where there is one
- * @param message what went wrong, on ERROR
+ * @param revision the revision or sequence number up to which changes were sent
+ * @param resource the resource of PUT and DELETE; otherwise null
+ * @param message the error message of ERROR; otherwise null
  */
 record WatchLine(String type, long revision, ResourceView resource, String message)
 {
--- a/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamClaim.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamClaim.java
@@ -5,10 +5,10 @@
 package org.gaugehollow.upstream;
 
 /**
- * The body of a claim.
+ * The body of a claim request.
  *
- * @param box the new owner
- * @param epoch the epoch of its ownership
+ * @param box the id of the new owner
+ * @param epoch the epoch of the ownership
  */
 public record UpstreamClaim(String box, long epoch)
 {
--- a/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamClient.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamClient.java
@@ -27,12 +27,12 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * The requests of this box to one upstream. Each connection carries one request at a time; one
- * whose answer did not come whole, in time and under the right task id is closed. Thread-safe.
+ * Sends requests to one upstream. Each connection carries one request at a time and is closed
+ * unless the complete answer arrived in time with the right task id. Thread-safe.
  */
 public final class UpstreamClient implements AutoCloseable
 {
-    /** The largest answer passed on. */
+    /** Maximum size of an answer in bytes. */
     public static final int MAX_ANSWER_BYTES = 1 << 20;
     private static final int MAX_IDLE_CONNECTIONS = 60;
     private static final int CONNECT_TIMEOUT_MILLIS = 500;
@@ -46,10 +46,12 @@
     private final HttpConnectionPool connections;
 
     /**
+     * Creates a client; connections are opened on demand.
+     *
      * @param loops the event loops
-     * @param worker the upstream's id
-     * @param target its address
-     * @param events where dropped answers are recorded
+     * @param worker the id of the upstream
+     * @param target the address of the upstream
+     * @param events the log of dropped answers
      */
     public UpstreamClient(NetLoops loops, String worker, InetSocketAddress target, EventLog events)
     {
@@ -59,23 +61,24 @@
         this.connections = new HttpConnectionPool(loops, target, MAX_IDLE_CONNECTIONS);
     }
 
-    /** @return the upstream's address */
+    /** @return the address of the upstream */
     public InetSocketAddress target()
     {
         return connections.target();
     }
 
     /**
-     * Runs a request and waits for its whole answer.
+     * Runs a request and waits for its complete answer.
      *
      * @param request the request
      * @param epoch the fencing token
-     * @param deadlineNanos when to give up, on {@link SteadyClock#nanos}
-     * @param maySend asked directly before the request is written; must not block
-     * @return the upstream's answer
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException with a code whose outcome says whether the request may have run;
-     *             {@code NO_RIGHTS} if it may not be sent
+     * @param deadlineNanos the deadline, on {@link SteadyClock#nanos}
+     * @param maySend whether the request may be sent; called immediately before the request is written,
+     *            must not block
+     * @return the answer of the upstream
+     * @throws InterruptedException if the thread is interrupted
+     * @throws GaugehollowException if the request failed; the outcome of its code says whether the
+     *             request may have run; {@code NO_RIGHTS} if it may not be sent
      */
     public HttpReply run(UpstreamRequest request, long epoch, long deadlineNanos, BooleanSupplier maySend)
             throws InterruptedException
@@ -102,12 +105,13 @@
     }
 
     /**
-     * Takes the upstream for a new owner: from now on it refuses older ones, if it can.
+     * Claims the upstream for a new owner. An upstream with fencing rejects older owners afterwards.
      *
      * @param claim the new owner and its epoch
-     * @return what runs there
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException if it does not answer, or {@code FENCED} if it has a newer owner
+     * @return the running tasks and the state of the upstream
+     * @throws InterruptedException if the thread is interrupted
+     * @throws GaugehollowException if the upstream does not answer, or {@code FENCED} if it has a newer
+     *             owner
      */
     public UpstreamReport claim(UpstreamClaim claim) throws InterruptedException
     {
@@ -121,11 +125,11 @@
     }
 
     /**
-     * Asks what runs there.
+     * Requests the running tasks and the state of the upstream.
      *
-     * @return what runs there
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException if it does not answer
+     * @return the report of the upstream
+     * @throws InterruptedException if the thread is interrupted
+     * @throws GaugehollowException if the upstream does not answer
      */
     public UpstreamReport report() throws InterruptedException
     {
@@ -137,7 +141,7 @@
         if (reply.status() != OK)
         {
             throw new GaugehollowException(ResultCode.UPSTREAM_REFUSED,
-                    worker + " answered " + reply.status());
+                    worker + " answered with status " + reply.status());
         }
         return Json.read(reply.body(), UpstreamReport.class, ResultCode.UPSTREAM_REFUSED);
     }
@@ -164,7 +168,8 @@
     }
 
     /**
-     * Whether the upstream sent the answer to the request before once more; the right one may follow.
+     * Returns whether the upstream sent the answer to the previous request again; the right answer may
+     * follow.
      */
     private boolean isDuplicateAnswer(HttpConnection connection, UpstreamRequest request, HttpReply reply)
     {
@@ -174,13 +179,15 @@
         if (duplicate)
         {
             events.record(EventType.LATE_ANSWER_DROPPED, request.task(),
-                    "a second answer for " + answeredTask);
+                    "duplicate answer to task " + answeredTask);
         }
         return duplicate;
     }
 
     /**
-     * Returns whether the connection may be used again: only if the upstream names the task it answers.
+     * Returns whether the connection may be reused, which is the case if the answer names its task.
+     *
+     * @throws GaugehollowException if the answer names another task
      */
     private boolean checkTaskId(UpstreamRequest request, HttpReply reply)
     {
@@ -188,9 +195,9 @@
         if (answeredTask != null && !answeredTask.equals(request.task()))
         {
             events.record(EventType.LATE_ANSWER_DROPPED, request.task(),
-                    "the answer was for " + answeredTask);
+                    "received the answer to task " + answeredTask);
             throw new GaugehollowException(ResultCode.OUTCOME_UNKNOWN,
-                    "the answer belonged to another request");
+                    "received the answer to another request");
         }
         return answeredTask != null;
     }
@@ -201,7 +208,7 @@
         if (reason != null && reply.status() != OK)
         {
             ResultCode code = "fenced".equals(reason) ? ResultCode.FENCED : ResultCode.UPSTREAM_REFUSED;
-            throw new GaugehollowException(code, worker + " did not run it: " + reason);
+            throw new GaugehollowException(code, worker + " did not run the request: " + reason);
         }
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamHealth.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamHealth.java
@@ -5,9 +5,9 @@
 package org.gaugehollow.upstream;
 
 /**
- * Whether an upstream gets work, by its own evidence. One refused connection or some failures in a
- * row take it out; answered probes let it back, with one slot first and twice as many after each.
- * Thread-safe.
+ * Tracks the health of an upstream. A failed connection or several consecutive failures take it out
+ * of service. The first answered probe returns it to service with one slot; each further probe
+ * doubles the allowed slots. Thread-safe.
  */
 public final class UpstreamHealth
 {
@@ -18,7 +18,9 @@
     private int allowedSlots;
 
     /**
-     * @param totalSlots how many slots the upstream has
+     * Creates the state of an upstream in service.
+     *
+     * @param totalSlots the number of slots of the upstream
      */
     public UpstreamHealth(int totalSlots)
     {
@@ -26,16 +28,16 @@
         this.allowedSlots = totalSlots;
     }
 
-    /** A request was answered whole. */
+    /** Records a request with a complete answer. */
     public synchronized void recordSuccess()
     {
         failures = 0;
     }
 
     /**
-     * A request failed on the upstream.
+     * Records a failed request.
      *
-     * @return whether this took the upstream out
+     * @return whether this failure took the upstream out of service
      */
     public synchronized boolean recordFailure()
     {
@@ -44,9 +46,9 @@
     }
 
     /**
-     * The upstream cannot be connected to.
+     * Records that no connection to the upstream could be opened.
      *
-     * @return whether this took the upstream out
+     * @return whether this failure took the upstream out of service
      */
     public synchronized boolean recordUnreachable()
     {
@@ -62,9 +64,9 @@
     }
 
     /**
-     * The upstream answered a probe.
+     * Records an answered probe.
      *
-     * @return whether it was out and is let back with this
+     * @return whether this probe returned the upstream to service
      */
     public synchronized boolean recordProbe()
     {
@@ -73,7 +75,7 @@
         return wasOutOfService;
     }
 
-    /** @return how many slots may be used now; 0 where the upstream is out */
+    /** @return the number of slots that may be used; 0 while the upstream is out of service */
     public synchronized int allowedSlots()
     {
         return allowedSlots;
--- a/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamReport.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamReport.java
@@ -7,16 +7,16 @@
 import java.util.List;
 
 /**
- * What an upstream says when it is claimed or asked.
+ * The answer of an upstream to a claim or a probe.
  *
- * @param accepted whether a claim was accepted; true where none was made
- * @param fencing whether it refuses starts of older owners
- * @param leaving whether it is leaving
- * @param tasks what runs there
+ * @param accepted whether the claim was accepted; true for a probe
+ * @param fencing whether the upstream rejects requests of older owners
+ * @param leaving whether the upstream is leaving
+ * @param tasks the running tasks
  */
 public record UpstreamReport(boolean accepted, boolean fencing, boolean leaving, List<UpstreamTask> tasks)
 {
-    /** Copies the list. */
+    /** Creates a report; missing tasks become an empty list. */
     public UpstreamReport
     {
         tasks = tasks == null ? List.of() : List.copyOf(tasks);
--- a/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamRequest.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamRequest.java
@@ -7,14 +7,14 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * A request for an upstream.
+ * A request to an upstream.
  *
- * @param task its id
- * @param team the caller's team
- * @param key its key, or empty
- * @param path the path asked
- * @param needs what it takes
- * @param contentType the body's media type
+ * @param task the id of the task
+ * @param team the team of the caller
+ * @param key the idempotency key, or empty
+ * @param path the path on the upstream
+ * @param needs the required resources
+ * @param contentType the media type of the body
  * @param body the body
  */
 public record UpstreamRequest(String task, String team, String key, String path, ComputeResources needs,
--- a/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamTask.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamTask.java
@@ -7,11 +7,11 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * A task that an upstream says it runs.
+ * A task that is running on an upstream.
  *
- * @param task its id
- * @param epoch the epoch it was started with
- * @param needs what it takes
+ * @param task the id of the task
+ * @param epoch the epoch of the owner that started the task
+ * @param needs the resources of the task
  */
 public record UpstreamTask(String task, long epoch, ComputeResources needs)
 {
--- a/gaugehollow/src/test/java/org/gaugehollow/entry/KeyedRunnerTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/entry/KeyedRunnerTest.java
@@ -48,7 +48,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What the owner of a key says of an ask that was not run. */
+/** Guards against false evidence that a key did not run. */
 class KeyedRunnerTest
 {
     private static final String HALL = "hall";
@@ -95,7 +95,7 @@
         loops.close();
     }
 
-    /** A hall of two boxes, in which this box owns all keys. */
+    /** Returns a map of two boxes in which this box owns all key slots. */
     private AssignmentMap map(BoxIdentity self)
     {
         Map<String, AssignmentMap.Member> boxes = new LinkedHashMap<>();
@@ -128,8 +128,7 @@
     }
 
     /**
-     * A box noted a key, and its rights ended before it ran the request. It said "not run" with the
-     * word of the key's owner, although another box may own the key by then and run an earlier ask.
+     * Guards against claiming "not run" after the rights ended, when another box may own the key.
      */
     @Test
     void rightsLostAfterReplicationGiveNoEvidenceOfNotRun() throws InterruptedException
@@ -140,7 +139,7 @@
         assertThat(answer.getEvidence()).isFalse();
     }
 
-    /** The same, where the copy failed while the rights ended. */
+    /** Guards against the same claim if replication fails while the rights end. */
     @Test
     void rightsLostDuringFailedReplicationGiveNoEvidenceOfNotRun() throws InterruptedException
     {
--- a/gaugehollow/src/test/java/org/gaugehollow/entry/UpstreamManagerTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/entry/UpstreamManagerTest.java
@@ -53,7 +53,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** What runs on a worker is counted for as long as it runs, whatever happens to the ownership. */
+/** Guards against losing the resources of running tasks when a worker is cordoned or restarted. */
 class UpstreamManagerTest
 {
     private static final String WORKER = "w1";
--- a/gaugehollow/src/test/java/org/gaugehollow/upstream/UpstreamClientTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/upstream/UpstreamClientTest.java
@@ -25,7 +25,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Whether a request may be sent is asked as late as can be. */
+/** Guards against sending a request after the rights ended while the connection was opened. */
 class UpstreamClientTest
 {
     private static final int READ_TIMEOUT_MILLIS = 300;
