--- a/gaugehollow/src/main/java/org/gaugehollow/entry/BoxReport.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/BoxReport.java
@@ -16,7 +16,7 @@
  * @param hall the hall of the box
  * @param ready whether the box accepts requests
  * @param rights the state of the rights: valid, frozen or none
- * @param storeAnswers whether the last call of the store was answered
+ * @param storeAnswers whether the store answered the last call
  * @param configRevision the revision of the active configuration
  * @param mapEpoch the epoch of the assignment map of the hall
  * @param boxes the boxes in the assignment map and whether each is reachable
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/EntryBox.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/EntryBox.java
@@ -395,7 +395,7 @@
 
     /**
      * Stops gracefully: reports that it is not ready, transfers its workers and key slots to peers,
-     * completes the requests in flight and leaves the assignment map. Takes at most the configured
+     * completes the requests in flight and leaves the assignment map. Waits at most the configured
      * drain time.
      *
      * @throws InterruptedException if the thread is interrupted
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/KeyedRunner.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/KeyedRunner.java
@@ -189,8 +189,8 @@
     }
 
     /**
-     * Replicates the outcome of a run. Failures are only recorded, because a successor without
-     * the outcome still gives no wrong answer.
+     * Replicates the outcome of a run. Failures are only recorded, because a successor without the
+     * outcome still gives no wrong answer.
      */
     private void replicateOutcome(PeerProtocol.KeyRecord record)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/PauseDetector.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/PauseDetector.java
@@ -13,10 +13,10 @@
 import org.gaugehollow.time.SteadyClock;
 
 /**
- * Detects that the process was paused, because its own ticks came late. If the steady clock does
- * not count time in suspension, a suspension is detected by the wall clock advancing more than the
- * steady clock; otherwise changes of the wall clock are ignored. After a pause, the rights of this
- * box are suspended or revoked until the store renews them.
+ * Detects pauses of the process by its own late ticks. If the steady clock does not count time in
+ * suspension, a suspension is detected by the wall clock advancing more than the steady clock;
+ * otherwise changes of the wall clock are ignored. After a pause, the rights of this box are
+ * suspended or revoked until the store renews them.
  */
 final class PauseDetector implements SupervisedTask
 {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/PeerForwarder.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/PeerForwarder.java
@@ -61,8 +61,8 @@
      */
     private static GaugehollowException toForwardFailure(GaugehollowException e)
     {
-        boolean outcomeKnown = e.code() == ResultCode.PEER_UNREACHABLE || e.code() == ResultCode.PEER_LOST
+        boolean keepCode = e.code() == ResultCode.PEER_UNREACHABLE || e.code() == ResultCode.PEER_LOST
                 || e.code() == ResultCode.QUEUE_FULL;
-        return outcomeKnown ? e : new GaugehollowException(ResultCode.PEER_LOST, e.getMessage(), e);
+        return keepCode ? e : new GaugehollowException(ResultCode.PEER_LOST, e.getMessage(), e);
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/PlacementLog.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/PlacementLog.java
@@ -55,7 +55,7 @@
      *
      * @param sequence the sequence number
      * @param timeoutNanos the maximum time to wait, in nanoseconds
-     * @return the placements; an empty list after the timeout; empty if they are no longer retained
+     * @return the placements, none after the timeout; empty if they are no longer retained
      * @throws InterruptedException if the thread is interrupted
      */
     Optional<List<Entry>> awaitAfter(long sequence, long timeoutNanos) throws InterruptedException
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/RetryBudget.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/RetryBudget.java
@@ -10,6 +10,7 @@
  */
 final class RetryBudget
 {
+    /** Balance that a retry costs; each request adds {@code retryPercent}. */
     private static final int RETRY_COST = 100;
     private static final int MAX_BALANCE = 50 * RETRY_COST;
 
