--- a/gaugehollow/src/main/java/org/gaugehollow/entry/KeyTime.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/KeyTime.java
@@ -6,19 +6,19 @@
 
 import java.util.UUID;
 
-/** Reads the time that some keys carry. */
+/** Extracts the creation time from idempotency keys that contain one. */
 final class KeyTime
 {
-    private static final int TIME_ORDERED = 7;
-    private static final int TIME_SHIFT = 16;
+    private static final int UUID_VERSION = 7;
+    private static final int TIMESTAMP_SHIFT = 16;
     private static final int UUID_LENGTH = 36;
 
     private KeyTime()
     {
     }
 
-    /** The milliseconds since 1970 inside a version 7 UUID, or 0 for any other key. */
-    static long ofUuid(String key)
+    /** Returns the time in a version 7 UUID in milliseconds since 1970, or 0 for any other key. */
+    static long fromUuid(String key)
     {
         if (key.length() != UUID_LENGTH)
         {
@@ -27,7 +27,7 @@
         try
         {
             UUID uuid = UUID.fromString(key);
-            return uuid.version() == TIME_ORDERED ? uuid.getMostSignificantBits() >>> TIME_SHIFT : 0;
+            return uuid.version() == UUID_VERSION ? uuid.getMostSignificantBits() >>> TIMESTAMP_SHIFT : 0;
         }
         catch (IllegalArgumentException e)
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/PauseDetector.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/PauseDetector.java
@@ -13,24 +13,31 @@
 import org.gaugehollow.time.SteadyClock;
 
 /**
- * Notices that the process did not run for a while: its own ticks came late. Where the steady clock
- * does not count suspension, the wall clock that moved on while it stood still shows that;
- * elsewhere a step of the wall clock says nothing. Rights are then put aside until the store renews
- * them.
+ * Detects pauses of the process by its own late ticks. If the steady clock does not count time in
+ * suspension, a suspension is detected by the wall clock advancing more than the steady clock;
+ * otherwise changes of the wall clock are ignored. After a pause, the rights of this box are
+ * suspended or revoked until the store renews them.
  */
 final class PauseDetector implements SupervisedTask
 {
-    private static final long TICK_MILLIS = 100;
+    private static final long TICK_INTERVAL_MILLIS = 100;
 
-    private final long pauseMillis;
+    private final long minPauseMillis;
     private final Rights rights;
     private final Runnable renewNow;
     private final EventLog events;
 
-    /** pauseMillis: the least gap that counts as a pause. */
-    PauseDetector(long pauseMillis, Rights rights, Runnable renewNow, EventLog events)
+    /**
+     * Creates a detector.
+     *
+     * @param minPauseMillis the minimum gap between ticks that counts as a pause, in milliseconds
+     * @param rights the rights to suspend or revoke
+     * @param renewNow starts a renewal of the rights
+     * @param events the event log
+     */
+    PauseDetector(long minPauseMillis, Rights rights, Runnable renewNow, EventLog events)
     {
-        this.pauseMillis = pauseMillis;
+        this.minPauseMillis = minPauseMillis;
         this.rights = rights;
         this.renewNow = renewNow;
         this.events = events;
@@ -40,33 +47,34 @@
     public void run() throws InterruptedException
     {
         long lastNanos = SteadyClock.nanos();
-        long lastWall = System.currentTimeMillis();
+        long lastWallMillis = System.currentTimeMillis();
         while (true)
         {
-            Thread.sleep(TICK_MILLIS);
-            long nanos = SteadyClock.nanos();
-            long wall = System.currentTimeMillis();
-            long ran = TimeUnit.NANOSECONDS.toMillis(nanos - lastNanos);
-            long passed = wall - lastWall;
-            boolean stoodStill = !SteadyClock.countsSuspension() && passed - ran > pauseMillis;
-            if (stoodStill)
+            Thread.sleep(TICK_INTERVAL_MILLIS);
+            long nowNanos = SteadyClock.nanos();
+            long wallMillis = System.currentTimeMillis();
+            long monotonicElapsed = TimeUnit.NANOSECONDS.toMillis(nowNanos - lastNanos);
+            long wallElapsed = wallMillis - lastWallMillis;
+            boolean wasSuspended = !SteadyClock.countsSuspension()
+                    && wallElapsed - monotonicElapsed > minPauseMillis;
+            if (wasSuspended)
             {
                 rights.revoke();
-                report(passed, "the monotonic clock stood still");
+                report(wallElapsed, "the monotonic clock did not advance");
             }
-            else if (ran > pauseMillis)
+            else if (monotonicElapsed > minPauseMillis)
             {
                 rights.suspend();
-                report(ran, "the process did not run");
+                report(monotonicElapsed, "the process did not run");
             }
-            lastNanos = nanos;
-            lastWall = wall;
+            lastNanos = nowNanos;
+            lastWallMillis = wallMillis;
         }
     }
 
-    private void report(long millis, String what)
+    private void report(long millis, String cause)
     {
         renewNow.run();
-        events.record(EventType.PAUSE_DETECTED, "process", what + " for " + millis + " ms");
+        events.record(EventType.PAUSE_DETECTED, "process", cause + " for " + millis + " ms");
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/PlacementLog.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/PlacementLog.java
@@ -13,12 +13,12 @@
 
 import org.gaugehollow.placement.Placement;
 
-/** The newest placements of this box, numbered, for watches. Thread-safe. */
+/** Retains the latest placements of this box, numbered in sequence, for watches. Thread-safe. */
 final class PlacementLog
 {
     private static final int CAPACITY = 8192;
 
-    /** One placement as watches show it. */
+    /** A placement as it is written to watches. */
     record Entry(long sequence, String task, String team, String taskClass, String worker, long epoch,
             String policy, long waitedMicros)
     {
@@ -26,20 +26,20 @@
 
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition added = lock.newCondition();
-    private final Deque<Entry> ring = new ArrayDeque<>();
-    private long last;
+    private final Deque<Entry> entries = new ArrayDeque<>();
+    private long lastSequence;
 
     void add(Placement placement)
     {
         lock.lock();
         try
         {
-            last++;
-            if (ring.size() == CAPACITY)
+            lastSequence++;
+            if (entries.size() == CAPACITY)
             {
-                ring.removeFirst();
+                entries.removeFirst();
             }
-            ring.addLast(new Entry(last, placement.demand().task(), placement.demand().team(),
+            entries.addLast(new Entry(lastSequence, placement.demand().task(), placement.demand().team(),
                     placement.demand().taskClass().label(), placement.worker(), placement.epoch(),
                     placement.policy(), placement.waitedNanos() / 1_000));
             added.signalAll();
@@ -50,20 +50,27 @@
         }
     }
 
-    /** Waits for placements after the given number; nothing at all if they are no longer held. */
-    Optional<List<Entry>> awaitAfter(long from, long nanos) throws InterruptedException
+    /**
+     * Waits for placements after a sequence number.
+     *
+     * @param sequence the sequence number
+     * @param timeoutNanos the maximum time to wait, in nanoseconds
+     * @return the placements, none after the timeout; empty if they are no longer retained
+     * @throws InterruptedException if the thread is interrupted
+     */
+    Optional<List<Entry>> awaitAfter(long sequence, long timeoutNanos) throws InterruptedException
     {
         lock.lock();
         try
         {
-            long left = nanos;
-            while (last <= from && left > 0)
+            long remainingNanos = timeoutNanos;
+            while (lastSequence <= sequence && remainingNanos > 0)
             {
-                left = added.awaitNanos(left);
+                remainingNanos = added.awaitNanos(remainingNanos);
             }
-            boolean held = from >= last - ring.size();
-            return held
-                    ? Optional.of(ring.stream().filter(e -> e.sequence > from).toList())
+            boolean retained = sequence >= lastSequence - entries.size();
+            return retained
+                    ? Optional.of(entries.stream().filter(e -> e.sequence > sequence).toList())
                     : Optional.empty();
         }
         finally
@@ -72,12 +79,12 @@
         }
     }
 
-    long last()
+    long lastSequence()
     {
         lock.lock();
         try
         {
-            return last;
+            return lastSequence;
         }
         finally
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/RetryBudget.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/RetryBudget.java
@@ -5,35 +5,36 @@
 package org.gaugehollow.entry;
 
 /**
- * Bounds the tries after "not run" to a share of the requests, so that failing upstreams do not
- * multiply the load. Thread-safe.
+ * Limits retries to a percentage of the requests, so that failing upstreams do not multiply the
+ * load. Thread-safe.
  */
 final class RetryBudget
 {
-    private static final int PERCENT = 100;
-    private static final int MOST_SAVED = 50 * PERCENT;
+    /** Balance that a retry costs; each request adds {@code retryPercent}. */
+    private static final int RETRY_COST = 100;
+    private static final int MAX_BALANCE = 50 * RETRY_COST;
 
     private final int retryPercent;
-    private int saved;
+    private int balance;
 
     RetryBudget(int retryPercent)
     {
         this.retryPercent = retryPercent;
-        this.saved = MOST_SAVED;
+        this.balance = MAX_BALANCE;
     }
 
-    synchronized void requestArrived()
+    synchronized void recordRequest()
     {
-        saved = Math.min(MOST_SAVED, saved + retryPercent);
+        balance = Math.min(MAX_BALANCE, balance + retryPercent);
     }
 
-    synchronized boolean tryRetry()
+    synchronized boolean tryAcquire()
     {
-        if (saved < PERCENT)
+        if (balance < RETRY_COST)
         {
             return false;
         }
-        saved -= PERCENT;
+        balance -= RETRY_COST;
         return true;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamClient.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamClient.java
@@ -27,16 +27,16 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * The requests of this box to one upstream. Each connection carries one request at a time; one
- * whose answer did not come whole, in time and under the right task id is closed. Thread-safe.
+ * Sends requests to one upstream. Each connection carries one request at a time and is closed
+ * unless the complete answer arrived in time with the right task id. Thread-safe.
  */
 public final class UpstreamClient implements AutoCloseable
 {
-    /** The largest answer passed on. */
-    public static final int LARGEST_ANSWER = 1 << 20;
-    private static final int MOST_IDLE = 60;
-    private static final int CONNECT_MILLIS = 500;
-    private static final int CONTROL_MILLIS = 1_000;
+    /** Maximum size of an answer in bytes. */
+    public static final int MAX_ANSWER_BYTES = 1 << 20;
+    private static final int MAX_IDLE_CONNECTIONS = 60;
+    private static final int CONNECT_TIMEOUT_MILLIS = 500;
+    private static final int CONTROL_TIMEOUT_MILLIS = 1_000;
     private static final int OK = 200;
     private static final int CONFLICT = 409;
 
@@ -46,108 +46,113 @@
     private final HttpConnectionPool connections;
 
     /**
+     * Creates a client; connections are opened on demand.
+     *
      * @param loops the event loops
-     * @param worker the upstream's id
-     * @param target its address
-     * @param events where dropped answers are recorded
+     * @param worker the id of the upstream
+     * @param target the address of the upstream
+     * @param events the log of dropped answers
      */
     public UpstreamClient(NetLoops loops, String worker, InetSocketAddress target, EventLog events)
     {
         this.worker = worker;
         this.events = events;
         this.control = new HttpCaller(loops, target);
-        this.connections = new HttpConnectionPool(loops, target, MOST_IDLE);
+        this.connections = new HttpConnectionPool(loops, target, MAX_IDLE_CONNECTIONS);
     }
 
-    /** @return the upstream's address */
+    /** @return the address of the upstream */
     public InetSocketAddress target()
     {
         return connections.target();
     }
 
     /**
-     * Runs a request and waits for its whole answer.
+     * Runs a request and waits for its complete answer.
      *
      * @param request the request
      * @param epoch the fencing token
-     * @param deadlineNanos when to give up, on {@link SteadyClock#nanos}
-     * @param maySend asked directly before the request is written; must not block
-     * @return the upstream's answer
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException with a code whose outcome says whether the request may have run;
-     *             {@code NO_RIGHTS} if it may not be sent
+     * @param deadlineNanos the deadline, on {@link SteadyClock#nanos}
+     * @param maySend whether the request may be sent; called immediately before the request is written,
+     *            must not block
+     * @return the answer of the upstream
+     * @throws InterruptedException if the thread is interrupted
+     * @throws GaugehollowException if the request failed; the outcome of its code says whether the
+     *             request may have run; {@code NO_RIGHTS} if it may not be sent
      */
     public HttpReply run(UpstreamRequest request, long epoch, long deadlineNanos, BooleanSupplier maySend)
             throws InterruptedException
     {
-        HttpConnection connection = connections.acquire(connectMillis(deadlineNanos));
-        boolean keep = false;
+        HttpConnection connection = connections.acquire(connectTimeoutMillis(deadlineNanos));
+        boolean reusable = false;
         try
         {
-            HttpReply reply = connection.exchangeIf(maySend, messageOf(request, epoch), deadlineNanos,
-                    LARGEST_ANSWER);
-            if (isRepetition(connection, request, reply))
+            HttpReply reply = connection.exchangeIf(maySend, toMessage(request, epoch), deadlineNanos,
+                    MAX_ANSWER_BYTES);
+            if (isDuplicateAnswer(connection, request, reply))
             {
-                reply = connection.awaitAnswer(deadlineNanos, LARGEST_ANSWER);
+                reply = connection.awaitAnswer(deadlineNanos, MAX_ANSWER_BYTES);
             }
-            keep = checkTask(request, reply);
+            reusable = checkTaskId(request, reply);
             connection.setLastExchange(request.task());
-            checkRan(reply);
+            checkNotRejected(reply);
             return reply;
         }
         finally
         {
-            connections.release(connection, keep);
+            connections.release(connection, reusable);
         }
     }
 
     /**
-     * Takes the upstream for a new owner: from now on it refuses older ones, if it can.
+     * Claims the upstream for a new owner. An upstream with fencing rejects older owners afterwards.
      *
      * @param claim the new owner and its epoch
-     * @return what runs there
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException if it does not answer, or {@code FENCED} if it has a newer owner
+     * @return the running tasks and the state of the upstream
+     * @throws InterruptedException if the thread is interrupted
+     * @throws GaugehollowException if the upstream does not answer, or {@code FENCED} if it has a newer
+     *             owner
      */
     public UpstreamReport claim(UpstreamClaim claim) throws InterruptedException
     {
-        HttpReply reply = control.call("POST", "/gaugehollow/claim", Json.write(claim), CONTROL_MILLIS);
+        HttpReply reply = control.call("POST", "/gaugehollow/claim", Json.write(claim),
+                CONTROL_TIMEOUT_MILLIS);
         if (reply.status() == CONFLICT)
         {
             throw new GaugehollowException(ResultCode.FENCED, worker + " has a newer owner");
         }
-        return reportOf(reply);
+        return parseReport(reply);
     }
 
     /**
-     * Asks what runs there.
+     * Requests the running tasks and the state of the upstream.
      *
-     * @return what runs there
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException if it does not answer
+     * @return the report of the upstream
+     * @throws InterruptedException if the thread is interrupted
+     * @throws GaugehollowException if the upstream does not answer
      */
     public UpstreamReport report() throws InterruptedException
     {
-        return reportOf(control.call("GET", "/gaugehollow/tasks", new byte[0], CONTROL_MILLIS));
+        return parseReport(control.call("GET", "/gaugehollow/tasks", new byte[0], CONTROL_TIMEOUT_MILLIS));
     }
 
-    private UpstreamReport reportOf(HttpReply reply)
+    private UpstreamReport parseReport(HttpReply reply)
     {
         if (reply.status() != OK)
         {
             throw new GaugehollowException(ResultCode.UPSTREAM_REFUSED,
-                    worker + " answered " + reply.status());
+                    worker + " answered with status " + reply.status());
         }
         return Json.read(reply.body(), UpstreamReport.class, ResultCode.UPSTREAM_REFUSED);
     }
 
-    private static HttpMessage messageOf(UpstreamRequest request, long epoch)
+    private static HttpMessage toMessage(UpstreamRequest request, long epoch)
     {
         HttpHeaders headers = new DefaultHttpHeaders();
         headers.set(UpstreamHeaders.TASK, request.task());
         headers.set(UpstreamHeaders.EPOCH, epoch);
         headers.set(UpstreamHeaders.TEAM, request.team());
-        headers.set(UpstreamHeaders.NEEDS, needsText(request.needs()));
+        headers.set(UpstreamHeaders.NEEDS, formatNeeds(request.needs()));
         headers.set(HttpHeaderNames.CONTENT_TYPE, request.contentType());
         if (!request.key().isEmpty())
         {
@@ -156,56 +161,61 @@
         return new HttpMessage("POST", request.path(), "", headers, request.body());
     }
 
-    private static String needsText(ComputeResources needs)
+    private static String formatNeeds(ComputeResources needs)
     {
         return "slots=" + needs.slots() + ";cpuMillis=" + needs.cpuMillis() + ";memoryMib="
                 + needs.memoryMib() + ";accelerators=" + needs.accelerators();
     }
 
     /**
-     * Whether the upstream sent the answer to the request before once more; the right one may follow.
+     * Returns whether the upstream sent the answer to the previous request again; the right answer may
+     * follow.
      */
-    private boolean isRepetition(HttpConnection connection, UpstreamRequest request, HttpReply reply)
+    private boolean isDuplicateAnswer(HttpConnection connection, UpstreamRequest request, HttpReply reply)
     {
-        String answered = reply.headers().get(UpstreamHeaders.TASK);
-        boolean repeated = answered != null && answered.equals(connection.lastExchange())
-                && !answered.equals(request.task());
-        if (repeated)
+        String answeredTask = reply.headers().get(UpstreamHeaders.TASK);
+        boolean duplicate = answeredTask != null && answeredTask.equals(connection.lastExchange())
+                && !answeredTask.equals(request.task());
+        if (duplicate)
         {
-            events.record(EventType.LATE_ANSWER_DROPPED, request.task(), "a second answer for " + answered);
+            events.record(EventType.LATE_ANSWER_DROPPED, request.task(),
+                    "duplicate answer to task " + answeredTask);
         }
-        return repeated;
+        return duplicate;
     }
 
     /**
-     * Returns whether the connection may be used again: only if the upstream names the task it answers.
+     * Returns whether the connection may be reused, which is the case if the answer names its task.
+     *
+     * @throws GaugehollowException if the answer names another task
      */
-    private boolean checkTask(UpstreamRequest request, HttpReply reply)
+    private boolean checkTaskId(UpstreamRequest request, HttpReply reply)
     {
-        String answered = reply.headers().get(UpstreamHeaders.TASK);
-        if (answered != null && !answered.equals(request.task()))
+        String answeredTask = reply.headers().get(UpstreamHeaders.TASK);
+        if (answeredTask != null && !answeredTask.equals(request.task()))
         {
-            events.record(EventType.LATE_ANSWER_DROPPED, request.task(), "the answer was for " + answered);
+            events.record(EventType.LATE_ANSWER_DROPPED, request.task(),
+                    "received the answer to task " + answeredTask);
             throw new GaugehollowException(ResultCode.OUTCOME_UNKNOWN,
-                    "the answer belonged to another request");
+                    "received the answer to another request");
         }
-        return answered != null;
+        return answeredTask != null;
     }
 
-    private void checkRan(HttpReply reply)
+    private void checkNotRejected(HttpReply reply)
     {
         String reason = reply.headers().get(UpstreamHeaders.NOT_RUN);
         if (reason != null && reply.status() != OK)
         {
             ResultCode code = "fenced".equals(reason) ? ResultCode.FENCED : ResultCode.UPSTREAM_REFUSED;
-            throw new GaugehollowException(code, worker + " did not run it: " + reason);
+            throw new GaugehollowException(code, worker + " did not run the request: " + reason);
         }
     }
 
-    private static int connectMillis(long deadlineNanos)
+    private static int connectTimeoutMillis(long deadlineNanos)
     {
-        long left = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - SteadyClock.nanos());
-        return (int) Math.clamp(left, 1, CONNECT_MILLIS);
+        long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - SteadyClock.nanos());
+        return (int) Math.clamp(remainingMillis, 1, CONNECT_TIMEOUT_MILLIS);
     }
 
     @Override
--- a/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamHealth.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamHealth.java
@@ -5,75 +5,77 @@
 package org.gaugehollow.upstream;
 
 /**
- * Whether an upstream gets work, by its own evidence. One refused connection or some failures in a
- * row take it out; answered probes let it back, with one slot first and twice as many after each.
- * Thread-safe.
+ * Tracks the health of an upstream. A failed connection or several consecutive failures take it out
+ * of service. The first answered probe returns it to service with one slot; each further probe
+ * doubles the allowed slots. Thread-safe.
  */
 public final class UpstreamHealth
 {
-    private static final int FAILURES_OUT = 3;
+    private static final int FAILURE_THRESHOLD = 3;
 
-    private final int allSlots;
+    private final int totalSlots;
     private int failures;
     private int allowedSlots;
 
     /**
-     * @param allSlots how many slots the upstream has
+     * Creates the state of an upstream in service.
+     *
+     * @param totalSlots the number of slots of the upstream
      */
-    public UpstreamHealth(int allSlots)
+    public UpstreamHealth(int totalSlots)
     {
-        this.allSlots = allSlots;
-        this.allowedSlots = allSlots;
+        this.totalSlots = totalSlots;
+        this.allowedSlots = totalSlots;
     }
 
-    /** A request was answered whole. */
+    /** Records a request with a complete answer. */
     public synchronized void recordSuccess()
     {
         failures = 0;
     }
 
     /**
-     * A request failed on the upstream.
+     * Records a failed request.
      *
-     * @return whether this took the upstream out
+     * @return whether this failure took the upstream out of service
      */
     public synchronized boolean recordFailure()
     {
         failures++;
-        return failures >= FAILURES_OUT && takeOut();
+        return failures >= FAILURE_THRESHOLD && takeOutOfService();
     }
 
     /**
-     * The upstream cannot be connected to.
+     * Records that no connection to the upstream could be opened.
      *
-     * @return whether this took the upstream out
+     * @return whether this failure took the upstream out of service
      */
     public synchronized boolean recordUnreachable()
     {
-        return takeOut();
+        return takeOutOfService();
     }
 
-    private boolean takeOut()
+    private boolean takeOutOfService()
     {
-        boolean wasIn = allowedSlots > 0;
+        boolean wasInService = allowedSlots > 0;
         allowedSlots = 0;
         failures = 0;
-        return wasIn;
+        return wasInService;
     }
 
     /**
-     * The upstream answered a probe.
+     * Records an answered probe.
      *
-     * @return whether it was out and is let back with this
+     * @return whether this probe returned the upstream to service
      */
     public synchronized boolean recordProbe()
     {
-        boolean wasOut = allowedSlots == 0;
-        allowedSlots = wasOut ? 1 : Math.min(allSlots, allowedSlots * 2);
-        return wasOut;
+        boolean wasOutOfService = allowedSlots == 0;
+        allowedSlots = wasOutOfService ? 1 : Math.min(totalSlots, allowedSlots * 2);
+        return wasOutOfService;
     }
 
-    /** @return how many slots may be used now; 0 where the upstream is out */
+    /** @return the number of slots that may be used; 0 while the upstream is out of service */
     public synchronized int allowedSlots()
     {
         return allowedSlots;
