--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpBodyLimit.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpBodyLimit.java
@@ -22,17 +22,20 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.util.concurrent.ScheduledFuture;
 
-/** Gathers whole requests and refuses bodies over the limit with a coded answer. */
+/**
+ * Aggregates requests and rejects bodies over the size limit with
+ * {@link ResultCode#BODY_TOO_LARGE}.
+ */
 final class HttpBodyLimit extends HttpObjectAggregator
 {
     private static final long LINGER_MILLIS = 1_000;
 
-    private final int maxBody;
+    private final int maxBodyBytes;
 
-    HttpBodyLimit(int maxBody)
+    HttpBodyLimit(int maxBodyBytes)
     {
-        super(maxBody, true);
-        this.maxBody = maxBody;
+        super(maxBodyBytes, true);
+        this.maxBodyBytes = maxBodyBytes;
     }
 
     @Override
@@ -40,7 +43,7 @@
     {
         ResultCode code = ResultCode.BODY_TOO_LARGE;
         byte[] body = Json.write(new HttpReply.ErrorBody(code.number(), code.name(), code.outcome().label(),
-                "the body may have at most " + maxBody + " bytes", null));
+                "the request body exceeds " + maxBodyBytes + " bytes", null));
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                 HttpResponseStatus.valueOf(code.httpStatus()), Unpooled.wrappedBuffer(body));
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, HttpReply.JSON_TYPE);
@@ -50,8 +53,8 @@
     }
 
     /**
-     * What still arrives of the body is read and dropped for a while: closing with unread bytes would
-     * reset the connection, and the caller would lose the answer.
+     * Closes the connection after a delay in which the remaining body is read and discarded. Closing
+     * with unread bytes would reset the connection before the client receives the response.
      */
     private static void closeLater(ChannelHandlerContext ctx)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpCaller.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpCaller.java
@@ -12,11 +12,11 @@
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 import io.netty.handler.codec.http.HttpHeaderNames;
 
-/** Asks one HTTP server, over a few connections that are kept open between calls. Thread-safe. */
+/** Sends requests to one HTTP server over pooled connections. Thread-safe. */
 public final class HttpCaller implements AutoCloseable
 {
-    private static final int LARGEST_ANSWER = 64 << 20;
-    private static final int KEPT_OPEN = 2;
+    private static final int MAX_RESPONSE_BYTES = 64 << 20;
+    private static final int MAX_IDLE_CONNECTIONS = 2;
 
     private final NetLoops loops;
     private final InetSocketAddress target;
@@ -30,7 +30,7 @@
     {
         this.loops = loops;
         this.target = target;
-        this.connections = new HttpConnectionPool(loops, target, KEPT_OPEN);
+        this.connections = new HttpConnectionPool(loops, target, MAX_IDLE_CONNECTIONS);
     }
 
     /** @return the server's address */
@@ -40,32 +40,32 @@
     }
 
     /**
-     * Sends JSON and waits for the whole answer.
+     * Sends a JSON request and waits for the complete response.
      *
      * @param method the HTTP method
-     * @param path the path
+     * @param path the path, with an optional query
      * @param body the body, empty for none
-     * @param timeoutMillis how long to wait in all
-     * @return the answer
-     * @throws InterruptedException if the process stops
+     * @param timeoutMillis total timeout in milliseconds
+     * @return the response
+     * @throws InterruptedException if the thread is interrupted
      */
     public HttpReply call(String method, String path, byte[] body, int timeoutMillis)
             throws InterruptedException
     {
-        int mark = path.indexOf('?');
-        HttpMessage request = new HttpMessage(method, mark < 0 ? path : path.substring(0, mark),
-                mark < 0 ? "" : path.substring(mark + 1),
+        int queryStart = path.indexOf('?');
+        HttpMessage request = new HttpMessage(method, queryStart < 0 ? path : path.substring(0, queryStart),
+                queryStart < 0 ? "" : path.substring(queryStart + 1),
                 new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, HttpReply.JSON_TYPE), body);
         return call(request, timeoutMillis);
     }
 
     /**
-     * Sends a request and waits for the whole answer.
+     * Sends a request and waits for the complete response.
      *
      * @param request the request
-     * @param timeoutMillis how long to wait in all
-     * @return the answer
-     * @throws InterruptedException if the process stops
+     * @param timeoutMillis total timeout in milliseconds
+     * @return the response
+     * @throws InterruptedException if the thread is interrupted
      */
     public HttpReply call(HttpMessage request, int timeoutMillis) throws InterruptedException
     {
@@ -73,7 +73,7 @@
         HttpConnection connection = connections.acquire(timeoutMillis);
         try
         {
-            return connection.exchange(request, deadline, LARGEST_ANSWER);
+            return connection.exchange(request, deadline, MAX_RESPONSE_BYTES);
         }
         finally
         {
@@ -82,14 +82,14 @@
     }
 
     /**
-     * Sends a request whose answer may be large, and waits for the whole answer for as long as it keeps
-     * arriving.
+     * Sends a request and waits for the complete response with an idle timeout, for responses that may
+     * be large.
      *
      * @param request the request
-     * @param idleMillis how long to wait for a connection, for the head and for each further part
-     * @param timeoutMillis how long to wait in all
-     * @return the answer
-     * @throws InterruptedException if the process stops
+     * @param idleMillis timeout for the connection, the headers and each body chunk, in milliseconds
+     * @param timeoutMillis total timeout in milliseconds
+     * @return the response
+     * @throws InterruptedException if the thread is interrupted
      */
     public HttpReply callWithIdleTimeout(HttpMessage request, int idleMillis, int timeoutMillis)
             throws InterruptedException
@@ -99,7 +99,7 @@
         try
         {
             return connection.exchangeWithIdleTimeout(request, TimeUnit.MILLISECONDS.toNanos(idleMillis),
-                    deadline, LARGEST_ANSWER);
+                    deadline, MAX_RESPONSE_BYTES);
         }
         finally
         {
@@ -108,11 +108,11 @@
     }
 
     /**
-     * Opens a connection of its own for a streamed answer; the caller closes it.
+     * Opens a connection outside the pool, for a streamed response.
      *
-     * @param timeoutMillis how long to wait
-     * @return the connection
-     * @throws InterruptedException if the process stops
+     * @param timeoutMillis connect timeout in milliseconds
+     * @return the connection, to be closed by the caller
+     * @throws InterruptedException if the thread is interrupted
      */
     public HttpConnection openOwn(int timeoutMillis) throws InterruptedException
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpConnection.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpConnection.java
@@ -39,43 +39,40 @@
 import io.netty.util.concurrent.Future;
 
 /**
- * A client connection that carries one request at a time. After any failure it is closed and never
- * used again, so that a late answer can reach no other request.
+ * A client connection that carries one request at a time. It is closed after any failure, so that a
+ * late response is never taken for the response of another request.
  */
 public final class HttpConnection implements AutoCloseable
 {
     private static final long NANOS_PER_MILLI = 1_000_000L;
-    private static final int LARGEST_HEADER = 16 << 10;
-    private static final int LARGEST_CHUNK = 64 << 10;
+    private static final int MAX_HEADER_BYTES = 16 << 10;
+    private static final int MAX_CHUNK_BYTES = 64 << 10;
 
-    /**
-     * What the event loop queues: the head, a piece of the body, the end, or the loss of the
-     * connection.
-     */
-    private sealed interface Part
+    /** Part of a response, or the loss of the connection, as queued by the event loop. */
+    private sealed interface ResponsePart
     {
-        /** Status and headers. */
-        record Head(HttpResponse response) implements Part
+        /** The status and headers. */
+        record Head(HttpResponse response) implements ResponsePart
         {
         }
 
-        /** A piece of the body, perhaps the last. */
-        record Piece(byte[] bytes, boolean last) implements Part
+        /** A chunk of the body. */
+        record Chunk(byte[] bytes, boolean last) implements ResponsePart
         {
         }
 
-        /** The connection ended. */
-        record Lost(String reason) implements Part
+        /** The loss of the connection. */
+        record ConnectionLost(String reason) implements ResponsePart
         {
         }
     }
 
     private final Channel channel;
     private final String address;
-    private final BlockingDeque<Part> parts = new LinkedBlockingDeque<>();
+    private final BlockingDeque<ResponsePart> parts = new LinkedBlockingDeque<>();
     private boolean busy;
     private boolean answered;
-    private String lastExchange;
+    private String lastExchangeId;
 
     private HttpConnection(NetLoops loops, InetSocketAddress target, int timeoutMillis)
             throws InterruptedException
@@ -89,8 +86,8 @@
                     protected void initChannel(Channel ch)
                     {
                         ch.pipeline().addLast(
-                                new HttpClientCodec(LARGEST_HEADER, LARGEST_HEADER, LARGEST_CHUNK),
-                                new Receiver());
+                                new HttpClientCodec(MAX_HEADER_BYTES, MAX_HEADER_BYTES, MAX_CHUNK_BYTES),
+                                new ResponseHandler());
                     }
                 });
         ChannelFuture connected = bootstrap.connect(target).await();
@@ -107,10 +104,10 @@
      *
      * @param loops the event loops
      * @param target the address
-     * @param timeoutMillis how long to wait
+     * @param timeoutMillis connect timeout in milliseconds
      * @return the open connection
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException with {@link ResultCode#UPSTREAM_REFUSED} if it cannot be opened
+     * @throws InterruptedException if the thread is interrupted
+     * @throws GaugehollowException with {@link ResultCode#UPSTREAM_REFUSED} if the connection fails
      */
     public static HttpConnection open(NetLoops loops, InetSocketAddress target, int timeoutMillis)
             throws InterruptedException
@@ -118,101 +115,104 @@
         return new HttpConnection(loops, target, timeoutMillis);
     }
 
-    /** @return whether another request may be sent: open, idle, and nothing unasked has arrived */
+    /** @return whether the connection is open, idle and has no unexpected data queued */
     public boolean isReusable()
     {
         return channel.isActive() && !busy && parts.isEmpty();
     }
 
-    /** @return whether a whole answer has come over it */
+    /** @return whether a complete response was received on this connection */
     public boolean hasAnswered()
     {
         return answered;
     }
 
     /**
-     * Sends a request and waits for the whole answer.
+     * Sends a request and waits for the complete response.
      *
      * @param request the request
-     * @param deadlineNanos when to give up, on {@link SteadyClock#nanos}
-     * @param maxBody the largest answer taken
-     * @return the whole answer
-     * @throws InterruptedException if the process stops
+     * @param deadlineNanos deadline on the clock of {@link SteadyClock#nanos}
+     * @param maxBodyBytes maximum size of the response body
+     * @return the response
+     * @throws InterruptedException if the thread is interrupted
      * @throws GaugehollowException {@code UPSTREAM_REFUSED} if nothing was sent,
      *             {@code UPSTREAM_TIMEOUT}, {@code OUTCOME_UNKNOWN} or {@code ANSWER_TOO_LARGE}
      *             otherwise
      */
-    public HttpReply exchange(HttpMessage request, long deadlineNanos, int maxBody)
+    public HttpReply exchange(HttpMessage request, long deadlineNanos, int maxBodyBytes)
             throws InterruptedException
     {
         send(request);
-        return awaitAnswer(deadlineNanos, maxBody);
+        return awaitAnswer(deadlineNanos, maxBodyBytes);
     }
 
     /**
-     * Sends a request and waits for the whole answer for as long as it keeps arriving.
+     * Sends a request and waits for the complete response with an idle timeout.
      *
      * @param request the request
-     * @param idleNanos how long to wait for the head and for each further part, in nanoseconds
-     * @param deadlineNanos when to give up in any case, on {@link SteadyClock#nanos}
-     * @param maxBody the largest answer taken
-     * @return the whole answer
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException as with {@link #exchange}
+     * @param idleNanos timeout for the headers and for each body chunk, in nanoseconds
+     * @param deadlineNanos overall deadline on the clock of {@link SteadyClock#nanos}
+     * @param maxBodyBytes maximum size of the response body
+     * @return the response
+     * @throws InterruptedException if the thread is interrupted
+     * @throws GaugehollowException as for {@link #exchange}
      */
     public HttpReply exchangeWithIdleTimeout(HttpMessage request, long idleNanos, long deadlineNanos,
-            int maxBody) throws InterruptedException
+            int maxBodyBytes) throws InterruptedException
     {
         send(request);
-        return awaitAnswer(idleNanos, deadlineNanos, maxBody);
+        return awaitAnswer(idleNanos, deadlineNanos, maxBodyBytes);
     }
 
     /**
-     * Sends a request unless it may not be sent any more, and waits for the whole answer.
+     * Sends a request if a condition holds, and waits for the complete response.
      *
-     * @param maySend asked directly before the request is written, on the event loop; must not block
+     * @param maySend condition evaluated on the event loop directly before the write; must not block
      * @param request the request
-     * @param deadlineNanos when to give up, on {@link SteadyClock#nanos}
-     * @param maxBody the largest answer taken
-     * @return the whole answer
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException {@code NO_RIGHTS} if it was kept back, or as with {@link #exchange}
+     * @param deadlineNanos deadline on the clock of {@link SteadyClock#nanos}
+     * @param maxBodyBytes maximum size of the response body
+     * @return the response
+     * @throws InterruptedException if the thread is interrupted
+     * @throws GaugehollowException {@code NO_RIGHTS} if the condition does not hold, otherwise as for
+     *             {@link #exchange}
      */
-    public HttpReply exchangeIf(BooleanSupplier maySend, HttpMessage request, long deadlineNanos, int maxBody)
-            throws InterruptedException
+    public HttpReply exchangeIf(BooleanSupplier maySend, HttpMessage request, long deadlineNanos,
+            int maxBodyBytes) throws InterruptedException
     {
         sendIf(maySend, request);
-        return awaitAnswer(deadlineNanos, maxBody);
+        return awaitAnswer(deadlineNanos, maxBodyBytes);
     }
 
     /**
-     * Waits for another whole answer on this connection, where the one before proved to be a
-     * repetition.
+     * Waits for another response on this connection, after the previous one turned out to be a
+     * duplicate.
      *
-     * @param deadlineNanos when to give up, on {@link SteadyClock#nanos}
-     * @param maxBody the largest answer taken
-     * @return the whole answer
-     * @throws InterruptedException if the process stops
+     * @param deadlineNanos deadline on the clock of {@link SteadyClock#nanos}
+     * @param maxBodyBytes maximum size of the response body
+     * @return the response
+     * @throws InterruptedException if the thread is interrupted
      */
-    public HttpReply awaitAnswer(long deadlineNanos, int maxBody) throws InterruptedException
+    public HttpReply awaitAnswer(long deadlineNanos, int maxBodyBytes) throws InterruptedException
     {
-        return awaitAnswer(Math.max(0, deadlineNanos - SteadyClock.nanos()), deadlineNanos, maxBody);
+        return awaitAnswer(Math.max(0, deadlineNanos - SteadyClock.nanos()), deadlineNanos, maxBodyBytes);
     }
 
-    private HttpReply awaitAnswer(long idleNanos, long deadlineNanos, int maxBody) throws InterruptedException
+    private HttpReply awaitAnswer(long idleNanos, long deadlineNanos, int maxBodyBytes)
+            throws InterruptedException
     {
         busy = true;
         HttpReply head = readHead(nextDeadline(idleNanos, deadlineNanos));
         ByteArrayOutputStream body = new ByteArrayOutputStream();
-        boolean whole = false;
-        while (!whole)
+        boolean complete = false;
+        while (!complete)
         {
-            Part.Piece piece = readPiece(nextDeadline(idleNanos, deadlineNanos));
-            body.writeBytes(piece.bytes);
-            whole = piece.last;
-            if (body.size() > maxBody)
+            ResponsePart.Chunk chunk = readBodyChunk(nextDeadline(idleNanos, deadlineNanos));
+            body.writeBytes(chunk.bytes);
+            complete = chunk.last;
+            if (body.size() > maxBodyBytes)
             {
-                throw failed(ResultCode.ANSWER_TOO_LARGE, "the answer has more than " + maxBody + " bytes");
+                throw closeWithFailure(ResultCode.ANSWER_TOO_LARGE,
+                        "the response body exceeds " + maxBodyBytes + " bytes");
             }
         }
         busy = false;
@@ -231,28 +231,29 @@
     }
 
     /**
-     * Names the exchange that was answered last, so that a repetition of its answer can be told.
+     * Stores the id of the last completed exchange, so that a duplicate of its response can be
+     * detected.
      *
-     * @param id the exchange's id
+     * @param id the id of the exchange
      */
     public void setLastExchange(String id)
     {
-        lastExchange = id;
+        lastExchangeId = id;
     }
 
-    /** @return the id given to the exchange before, or null */
+    /** @return the id of the last completed exchange, or null */
     public String lastExchange()
     {
-        return lastExchange;
+        return lastExchangeId;
     }
 
     /**
-     * Sends a request whose answer is a stream, and waits for the head of the answer.
+     * Sends a request with a streamed response and waits for the response headers.
      *
      * @param request the request
-     * @param deadlineNanos when to give up waiting for the head
-     * @return the head, with an empty body
-     * @throws InterruptedException if the process stops
+     * @param deadlineNanos deadline for the headers, on the clock of {@link SteadyClock#nanos}
+     * @return the status and headers, with an empty body
+     * @throws InterruptedException if the thread is interrupted
      */
     public HttpReply openStream(HttpMessage request, long deadlineNanos) throws InterruptedException
     {
@@ -261,68 +262,73 @@
     }
 
     /**
-     * Waits for the next piece of a streamed answer.
+     * Waits for the next chunk of a streamed response.
      *
-     * @param deadlineNanos when to give up
-     * @param keepOnTimeout whether the connection lives on when nothing came in time
-     * @return the bytes, empty when nothing came in time, or null at the end of the stream
-     * @throws InterruptedException if the process stops
+     * @param deadlineNanos deadline on the clock of {@link SteadyClock#nanos}
+     * @param keepOnTimeout whether the connection stays open after a timeout
+     * @return the bytes, empty after a timeout, or null at the end of the stream
+     * @throws InterruptedException if the thread is interrupted
      */
     public byte[] readChunk(long deadlineNanos, boolean keepOnTimeout) throws InterruptedException
     {
-        if (keepOnTimeout && !arrives(deadlineNanos))
+        if (keepOnTimeout && !awaitPart(deadlineNanos))
         {
             return new byte[0];
         }
-        Part.Piece piece = readPiece(deadlineNanos);
-        return piece.last && piece.bytes.length == 0 ? null : piece.bytes;
+        ResponsePart.Chunk chunk = readBodyChunk(deadlineNanos);
+        return chunk.last && chunk.bytes.length == 0 ? null : chunk.bytes;
     }
 
-    private boolean arrives(long deadlineNanos) throws InterruptedException
+    private boolean awaitPart(long deadlineNanos) throws InterruptedException
     {
-        Part first = parts.poll(Math.max(0, deadlineNanos - SteadyClock.nanos()), TimeUnit.NANOSECONDS);
-        if (first == null)
+        ResponsePart part = parts.poll(Math.max(0, deadlineNanos - SteadyClock.nanos()),
+                TimeUnit.NANOSECONDS);
+        if (part == null)
         {
             return false;
         }
-        parts.addFirst(first);
+        parts.addFirst(part);
         return true;
     }
 
     private void send(HttpMessage request) throws InterruptedException
     {
-        awaitWritten(channel.writeAndFlush(begin(request)));
+        awaitWritten(channel.writeAndFlush(prepareRequest(request)));
     }
 
-    /** On the event loop nothing comes between the question and the write. */
+    /**
+     * Evaluates the condition on the event loop, so that nothing runs between the check and the write.
+     */
     private void sendIf(BooleanSupplier maySend, HttpMessage request) throws InterruptedException
     {
-        FullHttpRequest message = begin(request);
-        Future<Optional<ChannelFuture>> asked = channel.eventLoop()
+        FullHttpRequest message = prepareRequest(request);
+        Future<Optional<ChannelFuture>> submitted = channel.eventLoop()
                 .submit(() -> maySend.getAsBoolean()
                         ? Optional.of(channel.writeAndFlush(message))
                         : Optional.<ChannelFuture>empty())
                 .await();
-        if (!asked.isSuccess())
+        if (!submitted.isSuccess())
         {
-            throw failed(ResultCode.UPSTREAM_REFUSED, "the connection to " + address + " has ended");
+            throw closeWithFailure(ResultCode.UPSTREAM_REFUSED,
+                    "the connection to " + address + " is closed");
         }
-        if (asked.getNow().isEmpty())
+        if (submitted.getNow().isEmpty())
         {
             message.release();
             busy = false;
-            throw new GaugehollowException(ResultCode.NO_RIGHTS, address + " may not be used now");
+            throw new GaugehollowException(ResultCode.NO_RIGHTS,
+                    "requests to " + address + " are currently not allowed");
         }
-        awaitWritten(asked.getNow().get());
+        awaitWritten(submitted.getNow().get());
     }
 
-    private FullHttpRequest begin(HttpMessage request)
+    private FullHttpRequest prepareRequest(HttpMessage request)
     {
         if (!isReusable())
         {
             close();
             throw new GaugehollowException(ResultCode.UPSTREAM_REFUSED,
-                    "the connection to " + address + " has ended");
+                    "the connection to " + address + " is closed");
         }
         busy = true;
         String uri = request.query().isEmpty() ? request.path() : request.path() + '?' + request.query();
@@ -338,55 +344,58 @@
     {
         if (!written.await().isSuccess())
         {
-            throw failed(ResultCode.OUTCOME_UNKNOWN, "the connection ended while the request was sent");
+            throw closeWithFailure(ResultCode.OUTCOME_UNKNOWN,
+                    "the connection was lost while the request was sent");
         }
     }
 
     private HttpReply readHead(long deadlineNanos) throws InterruptedException
     {
-        Part part = next(deadlineNanos);
-        if (!(part instanceof Part.Head head))
+        ResponsePart part = nextPart(deadlineNanos);
+        if (!(part instanceof ResponsePart.Head head))
         {
-            throw failed(ResultCode.OUTCOME_UNKNOWN, "an answer without a head");
+            throw closeWithFailure(ResultCode.OUTCOME_UNKNOWN, "the response has a body without headers");
         }
         HttpResponse response = head.response;
         if (response.decoderResult().isFailure())
         {
-            throw failed(ResultCode.OUTCOME_UNKNOWN, "the answer is not valid HTTP");
+            throw closeWithFailure(ResultCode.OUTCOME_UNKNOWN, "the response is not valid HTTP");
         }
         if (!HttpUtil.isContentLengthSet(response) && !HttpUtil.isTransferEncodingChunked(response))
         {
-            throw failed(ResultCode.OUTCOME_UNKNOWN, "the answer does not say how long it is");
+            throw closeWithFailure(ResultCode.OUTCOME_UNKNOWN,
+                    "the response has neither a content length nor chunked encoding");
         }
         return new HttpReply(response.status().code(), response.headers(), new byte[0]);
     }
 
-    private Part.Piece readPiece(long deadlineNanos) throws InterruptedException
+    private ResponsePart.Chunk readBodyChunk(long deadlineNanos) throws InterruptedException
     {
-        if (next(deadlineNanos) instanceof Part.Piece piece)
+        if (nextPart(deadlineNanos) instanceof ResponsePart.Chunk chunk)
         {
-            return piece;
+            return chunk;
         }
-        throw failed(ResultCode.OUTCOME_UNKNOWN, "a second answer inside the first");
+        throw closeWithFailure(ResultCode.OUTCOME_UNKNOWN, "unexpected headers within the response body");
     }
 
-    private Part next(long deadlineNanos) throws InterruptedException
+    private ResponsePart nextPart(long deadlineNanos) throws InterruptedException
     {
-        long wait = Math.max(0, deadlineNanos - SteadyClock.nanos());
-        Part part = parts.poll(wait / NANOS_PER_MILLI + 1, TimeUnit.MILLISECONDS);
+        long remainingNanos = Math.max(0, deadlineNanos - SteadyClock.nanos());
+        ResponsePart part = parts.poll(remainingNanos / NANOS_PER_MILLI + 1, TimeUnit.MILLISECONDS);
         if (part == null)
         {
-            throw failed(ResultCode.UPSTREAM_TIMEOUT, "no whole answer from " + address + " in time");
+            throw closeWithFailure(ResultCode.UPSTREAM_TIMEOUT,
+                    "timed out waiting for the response from " + address);
         }
-        if (part instanceof Part.Lost lost)
+        if (part instanceof ResponsePart.ConnectionLost lost)
         {
-            throw failed(ResultCode.OUTCOME_UNKNOWN,
-                    "the connection to " + address + " ended: " + lost.reason);
+            throw closeWithFailure(ResultCode.OUTCOME_UNKNOWN,
+                    "the connection to " + address + " was lost: " + lost.reason);
         }
         return part;
     }
 
-    private GaugehollowException failed(ResultCode code, String message)
+    private GaugehollowException closeWithFailure(ResultCode code, String message)
     {
         close();
         return new GaugehollowException(code, message);
@@ -396,30 +405,30 @@
     public void close()
     {
         busy = true;
-        // whoever waits for a part hears of the end from the receiver
+        // channelInactive wakes a thread that waits for the next part
         ChannelFuture unused = channel.close();
     }
 
-    /** Queues what arrives. */
-    private final class Receiver extends SimpleChannelInboundHandler<HttpObject>
+    /** Queues response parts for the waiting thread. */
+    private final class ResponseHandler extends SimpleChannelInboundHandler<HttpObject>
     {
         @Override
         protected void channelRead0(ChannelHandlerContext ctx, HttpObject message)
         {
             if (message instanceof HttpResponse response)
             {
-                parts.add(new Part.Head(response));
+                parts.add(new ResponsePart.Head(response));
             }
             if (message instanceof HttpContent content)
             {
                 boolean last = content instanceof LastHttpContent;
                 if (content.decoderResult().isFailure())
                 {
-                    parts.add(new Part.Lost("the body is not valid HTTP"));
+                    parts.add(new ResponsePart.ConnectionLost("the response body is not valid HTTP"));
                 }
                 else
                 {
-                    parts.add(new Part.Piece(ByteBufUtil.getBytes(content.content()), last));
+                    parts.add(new ResponsePart.Chunk(ByteBufUtil.getBytes(content.content()), last));
                 }
             }
         }
@@ -427,14 +436,15 @@
         @Override
         public void channelInactive(ChannelHandlerContext ctx)
         {
-            parts.add(new Part.Lost("closed"));
+            parts.add(new ResponsePart.ConnectionLost("closed"));
         }
 
         @Override
         public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause)
         {
-            parts.add(new Part.Lost(String.valueOf(cause.getMessage())));
-            ctx.close().addListener(closed -> parts.add(new Part.Lost("closed after a fault")));
+            parts.add(new ResponsePart.ConnectionLost(String.valueOf(cause.getMessage())));
+            ctx.close().addListener(
+                    closed -> parts.add(new ResponsePart.ConnectionLost("closed after an error")));
         }
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpConnectionPool.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpConnectionPool.java
@@ -8,25 +8,25 @@
 import java.util.ArrayDeque;
 import java.util.Deque;
 
-/** Idle connections to one server. Thread-safe. */
+/** A pool of idle connections to one server. Thread-safe. */
 public final class HttpConnectionPool implements AutoCloseable
 {
     private final NetLoops loops;
     private final InetSocketAddress target;
-    private final int mostIdle;
+    private final int maxIdle;
     private final Deque<HttpConnection> idle = new ArrayDeque<>();
     private boolean closed;
 
     /**
      * @param loops the event loops
      * @param target the server's address
-     * @param mostIdle how many connections are kept open between requests
+     * @param maxIdle maximum number of idle connections
      */
-    public HttpConnectionPool(NetLoops loops, InetSocketAddress target, int mostIdle)
+    public HttpConnectionPool(NetLoops loops, InetSocketAddress target, int maxIdle)
     {
         this.loops = loops;
         this.target = target;
-        this.mostIdle = mostIdle;
+        this.maxIdle = maxIdle;
     }
 
     /** @return the server's address */
@@ -38,26 +38,26 @@
     /**
      * Takes an idle connection or opens a new one.
      *
-     * @param connectMillis how long a new one may take
-     * @return a connection that this caller alone uses until it gives it back
-     * @throws InterruptedException if the process stops
+     * @param connectMillis connect timeout of a new connection, in milliseconds
+     * @return a connection for exclusive use, to be passed to {@link #release}
+     * @throws InterruptedException if the thread is interrupted
      * @throws org.gaugehollow.model.GaugehollowException if no connection can be opened
      */
     public HttpConnection acquire(int connectMillis) throws InterruptedException
     {
-        HttpConnection kept = takeIdle();
-        return kept != null ? kept : HttpConnection.open(loops, target, connectMillis);
+        HttpConnection pooled = takeIdle();
+        return pooled != null ? pooled : HttpConnection.open(loops, target, connectMillis);
     }
 
     /**
-     * Gives a connection back.
+     * Returns a connection to the pool, or closes it if it cannot be reused.
      *
      * @param connection the connection
-     * @param keep whether it may carry another request
+     * @param reusable whether the connection may carry another request
      */
-    public synchronized void release(HttpConnection connection, boolean keep)
+    public synchronized void release(HttpConnection connection, boolean reusable)
     {
-        if (keep && !closed && connection.isReusable() && idle.size() < mostIdle)
+        if (reusable && !closed && connection.isReusable() && idle.size() < maxIdle)
         {
             idle.push(connection);
         }
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpExchange.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpExchange.java
@@ -23,13 +23,13 @@
 import io.netty.handler.codec.http.HttpVersion;
 import io.netty.handler.codec.http.LastHttpContent;
 
-/** One request on a server connection and the way back to its caller. */
+/** A request on a server connection, and the means to respond to it. */
 public final class HttpExchange
 {
     private final Channel channel;
     private final HttpMessage request;
     private final boolean keepAlive;
-    private boolean answered;
+    private boolean responseStarted;
 
     HttpExchange(Channel channel, HttpMessage request, boolean keepAlive)
     {
@@ -44,23 +44,23 @@
         return request;
     }
 
-    /** @return whether the caller is still connected */
+    /** @return whether the client is still connected */
     public boolean isOpen()
     {
         return channel.isActive();
     }
 
-    /** @return whether a reply or a stream was begun */
-    public boolean answered()
+    /** @return whether a response or stream was started */
+    public boolean isResponseStarted()
     {
-        return answered;
+        return responseStarted;
     }
 
     /**
-     * Sends the whole reply and waits until it is written or the caller is gone.
+     * Sends a reply and waits until it is written or the client has disconnected.
      *
      * @param reply the reply
-     * @throws InterruptedException if the process stops
+     * @throws InterruptedException if the thread is interrupted
      */
     public void respond(HttpReply reply) throws InterruptedException
     {
@@ -68,15 +68,15 @@
     }
 
     /**
-     * Sends the whole reply.
+     * Sends a reply and waits until it is written or the client has disconnected.
      *
      * @param reply the reply
-     * @param close whether the connection ends with it
-     * @throws InterruptedException if the process stops
+     * @param close whether to close the connection afterwards
+     * @throws InterruptedException if the thread is interrupted
      */
     public void respond(HttpReply reply, boolean close) throws InterruptedException
     {
-        answered = true;
+        responseStarted = true;
         FullHttpResponse response = new DefaultFullHttpResponse(HttpVersion.HTTP_1_1,
                 HttpResponseStatus.valueOf(reply.status()), Unpooled.wrappedBuffer(reply.body()));
         response.headers().set(reply.headers());
@@ -93,13 +93,13 @@
     }
 
     /**
-     * Begins an answer of unknown length, one JSON object a line.
+     * Starts a streamed response of newline-delimited JSON.
      *
-     * @throws InterruptedException if the process stops
+     * @throws InterruptedException if the thread is interrupted
      */
     public void startLines() throws InterruptedException
     {
-        answered = true;
+        responseStarted = true;
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1, HttpResponseStatus.OK);
         response.headers().set(HttpHeaderNames.CONTENT_TYPE, "application/x-ndjson");
         HttpUtil.setTransferEncodingChunked(response, true);
@@ -107,11 +107,11 @@
     }
 
     /**
-     * Sends one line of a begun answer and waits until it is written.
+     * Sends one line of a streamed response and waits until it is written.
      *
-     * @param json the line without its end
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException if the caller is gone
+     * @param json the line without its terminator
+     * @throws InterruptedException if the thread is interrupted
+     * @throws GaugehollowException if the client has disconnected
      */
     public void writeLine(byte[] json) throws InterruptedException
     {
@@ -119,14 +119,14 @@
                 Unpooled.wrappedBuffer(json, "\n".getBytes(StandardCharsets.US_ASCII)));
         if (!channel.writeAndFlush(line).await().isSuccess())
         {
-            throw new GaugehollowException(ResultCode.PEER_LOST, "the caller is gone");
+            throw new GaugehollowException(ResultCode.PEER_LOST, "the client has disconnected");
         }
     }
 
     /**
-     * Ends a begun answer.
+     * Ends a streamed response.
      *
-     * @throws InterruptedException if the process stops
+     * @throws InterruptedException if the thread is interrupted
      */
     public void endLines() throws InterruptedException
     {
@@ -138,26 +138,25 @@
     }
 
     /**
-     * Cuts the connection without an answer.
+     * Closes the connection without a response.
      *
-     * @throws InterruptedException if the process stops
+     * @throws InterruptedException if the thread is interrupted
      */
     public void abort() throws InterruptedException
     {
-        answered = true;
+        responseStarted = true;
         channel.close().await();
     }
 
     /**
-     * Sends a reply whose body breaks off in the middle, and cuts the connection. For stand-ins of
-     * failing servers.
+     * Sends a reply with a truncated body and closes the connection. Used to simulate failing servers.
      *
      * @param reply the reply
-     * @throws InterruptedException if the process stops
+     * @throws InterruptedException if the thread is interrupted
      */
     public void respondTruncated(HttpReply reply) throws InterruptedException
     {
-        answered = true;
+        responseStarted = true;
         HttpResponse response = new DefaultHttpResponse(HttpVersion.HTTP_1_1,
                 HttpResponseStatus.valueOf(reply.status()));
         response.headers().set(reply.headers());
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpHandler.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpHandler.java
@@ -4,18 +4,15 @@
  */
 package org.gaugehollow.net;
 
-/**
- * Answers the requests of one port. Called on the connection's virtual thread, one request at a
- * time.
- */
+/** Handles the requests of one server. Called on the connection's virtual thread, one at a time. */
 @FunctionalInterface
 public interface HttpHandler
 {
     /**
-     * Answers a request, by a reply or by a stream.
+     * Handles a request and sends a reply or a stream.
      *
-     * @param exchange the request and the way back
-     * @throws InterruptedException if the process stops
+     * @param exchange the request and the means to respond to it
+     * @throws InterruptedException if the thread is interrupted
      */
     void handle(HttpExchange exchange) throws InterruptedException;
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpMessage.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpMessage.java
@@ -11,19 +11,19 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * A whole HTTP request, read or to be sent.
+ * A complete HTTP request, received or to be sent.
  *
  * @param method the method
  * @param path the path without its query
- * @param query the raw query, empty where there is none
+ * @param query the raw query, empty if there is none
  * @param headers the headers
- * @param body the whole body
+ * @param body the complete body
  */
 public record HttpMessage(String method, String path, String query, HttpHeaders headers, byte[] body)
 {
     /**
-     * @param name a query parameter's name
-     * @return its decoded value, if it is there
+     * @param name the name of a query parameter
+     * @return the decoded value, if present
      */
     public Optional<String> parameter(String name)
     {
@@ -40,8 +40,8 @@
     }
 
     /**
-     * @param name a header's name
-     * @return its value, if it is there
+     * @param name the name of a header
+     * @return the value, if present
      */
     public Optional<String> header(String name)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpReply.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpReply.java
@@ -13,11 +13,11 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * A whole HTTP response, to be sent or received.
+ * A complete HTTP response, received or to be sent.
  *
  * @param status the status
  * @param headers the headers
- * @param body the whole body
+ * @param body the complete body
  */
 public record HttpReply(int status, HttpHeaders headers, byte[] body)
 {
@@ -26,13 +26,13 @@
     private static final int MILLIS_PER_SECOND = 1000;
 
     /**
-     * The body of every coded refusal.
+     * The body of an error response.
      *
-     * @param code the number
-     * @param name its name
-     * @param outcome what is known of the request
-     * @param message what happened
-     * @param retryAfterMillis when to come back; absent where that does not help
+     * @param code the number of the result code
+     * @param name the name of the result code
+     * @param outcome the known outcome of the request
+     * @param message the error message
+     * @param retryAfterMillis delay before a retry in milliseconds, null if a retry does not help
      */
     public record ErrorBody(int code, String name, String outcome, String message, Integer retryAfterMillis)
     {
@@ -53,7 +53,7 @@
 
     /**
      * @param status the status
-     * @param value what is written as JSON
+     * @param value the value to serialise as JSON
      * @return the reply
      */
     public static HttpReply json(int status, Object value)
@@ -62,9 +62,9 @@
     }
 
     /**
-     * @param code a code that is not OK
-     * @param message what happened
-     * @return the coded refusal, with Retry-After where asking again helps
+     * @param code a result code other than OK
+     * @param message the error message
+     * @return the error response, with a Retry-After header if a retry can help
      */
     public static HttpReply error(ResultCode code, String message)
     {
@@ -72,10 +72,10 @@
     }
 
     /**
-     * @param code a code that is not OK
-     * @param message what happened
-     * @param retryAfterMillis when to come back, 0 where that does not help
-     * @return the coded refusal
+     * @param code a result code other than OK
+     * @param message the error message
+     * @param retryAfterMillis delay before a retry in milliseconds, 0 if a retry does not help
+     * @return the error response
      */
     public static HttpReply error(ResultCode code, String message, int retryAfterMillis)
     {
@@ -91,8 +91,8 @@
     }
 
     /**
-     * @param e a coded failure
-     * @return the coded refusal
+     * @param e an exception with a result code
+     * @return the error response
      */
     public static HttpReply error(GaugehollowException e)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpServer.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpServer.java
@@ -24,7 +24,7 @@
 import io.netty.handler.codec.http.HttpServerCodec;
 import io.netty.util.concurrent.GlobalEventExecutor;
 
-/** Listens on one address and gives each connection a virtual thread of its own. */
+/** Listens on one address and handles each connection on its own virtual thread. */
 public final class HttpServer implements AutoCloseable
 {
     private static final int BACKLOG = 1024;
@@ -35,16 +35,17 @@
     private final AtomicBoolean closing = new AtomicBoolean();
 
     /**
-     * Starts to listen.
+     * Starts the server.
      *
      * @param loops the event loops
-     * @param address where to listen; port 0 takes a free one
-     * @param maxBody the largest body in bytes
-     * @param events where faults are recorded
-     * @param handler what answers the requests
-     * @throws GaugehollowException with {@link ResultCode#ADDRESS_IN_USE} if the address is taken
+     * @param address the address to listen on; port 0 selects a free port
+     * @param maxBodyBytes maximum size of a request body
+     * @param events records internal errors and invalid requests
+     * @param handler handles the requests
+     * @throws GaugehollowException with {@link ResultCode#ADDRESS_IN_USE} if the server cannot listen
+     *             on the address
      */
-    public HttpServer(NetLoops loops, InetSocketAddress address, int maxBody, EventLog events,
+    public HttpServer(NetLoops loops, InetSocketAddress address, int maxBodyBytes, EventLog events,
             HttpHandler handler)
     {
         ServerBootstrap bootstrap = new ServerBootstrap().group(loops.group())
@@ -56,7 +57,7 @@
                     protected void initChannel(Channel channel)
                     {
                         connections.add(channel);
-                        channel.pipeline().addLast(new HttpServerCodec(), new HttpBodyLimit(maxBody),
+                        channel.pipeline().addLast(new HttpServerCodec(), new HttpBodyLimit(maxBodyBytes),
                                 new HttpServerConnection(handler, events, inFlight, closing));
                     }
                 });
@@ -69,7 +70,7 @@
         if (!bound.isSuccess())
         {
             String reason = bound.cause() instanceof BindException
-                    ? "is taken or not an address of this machine"
+                    ? "is already in use or not an address of this machine"
                     : bound.cause().toString();
             throw new GaugehollowException(ResultCode.ADDRESS_IN_USE,
                     NetAddress.format(address) + ' ' + reason, bound.cause());
@@ -77,19 +78,19 @@
         return bound.channel();
     }
 
-    /** @return the address it listens on, with the port it was given */
+    /** @return the address that the server listens on, with the actual port */
     public InetSocketAddress address()
     {
         return (InetSocketAddress) listener.localAddress();
     }
 
-    /** @return how many requests are being answered */
+    /** @return the number of requests in progress */
     public int inFlight()
     {
         return inFlight.get();
     }
 
-    /** Accepts no more connections and ends each one with its next answer. */
+    /** Stops accepting connections and closes each open one after its next response. */
     public void stopAccepting()
     {
         closing.set(true);
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpServerConnection.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpServerConnection.java
@@ -23,24 +23,23 @@
 import io.netty.handler.codec.http.HttpUtil;
 
 /**
- * One server connection: the event loop queues whole requests, a virtual thread answers them in
- * order.
+ * A server connection: the event loop queues requests and a virtual thread handles them in order.
  */
 final class HttpServerConnection extends SimpleChannelInboundHandler<FullHttpRequest>
 {
     private static final int IDLE_SECONDS = 75;
 
-    /** A request as it was queued; a null message says that it could not be decoded. */
-    private record Received(HttpMessage message, boolean keepAlive, String fault)
+    /** A queued request; the message is null if the request could not be decoded. */
+    private record QueuedRequest(HttpMessage message, boolean keepAlive, String error)
     {
-        static final Received END = new Received(null, false, null);
+        static final QueuedRequest END = new QueuedRequest(null, false, null);
     }
 
     private final HttpHandler handler;
     private final EventLog events;
     private final AtomicInteger inFlight;
     private final AtomicBoolean closing;
-    private final BlockingQueue<Received> queue = new LinkedBlockingQueue<>();
+    private final BlockingQueue<QueuedRequest> queue = new LinkedBlockingQueue<>();
 
     HttpServerConnection(HttpHandler handler, EventLog events, AtomicInteger inFlight, AtomicBoolean closing)
     {
@@ -62,16 +61,17 @@
     {
         if (request.decoderResult().isFailure())
         {
-            queue.add(
-                    new Received(null, false, String.valueOf(request.decoderResult().cause().getMessage())));
+            queue.add(new QueuedRequest(null, false,
+                    String.valueOf(request.decoderResult().cause().getMessage())));
             return;
         }
         String uri = request.uri();
-        int mark = uri.indexOf('?');
+        int queryStart = uri.indexOf('?');
         HttpMessage message = new HttpMessage(request.method().name(),
-                mark < 0 ? uri : uri.substring(0, mark), mark < 0 ? "" : uri.substring(mark + 1),
-                request.headers(), ByteBufUtil.getBytes(request.content()));
-        queue.add(new Received(message, HttpUtil.isKeepAlive(request), null));
+                queryStart < 0 ? uri : uri.substring(0, queryStart),
+                queryStart < 0 ? "" : uri.substring(queryStart + 1), request.headers(),
+                ByteBufUtil.getBytes(request.content()));
+        queue.add(new QueuedRequest(message, HttpUtil.isKeepAlive(request), null));
     }
 
     @Override
@@ -86,13 +86,13 @@
     @Override
     public void channelInactive(ChannelHandlerContext ctx)
     {
-        queue.add(Received.END);
+        queue.add(QueuedRequest.END);
     }
 
     @Override
     public void exceptionCaught(ChannelHandlerContext ctx, Throwable cause)
     {
-        ctx.close().addListener(closed -> queue.add(Received.END));
+        ctx.close().addListener(closed -> queue.add(QueuedRequest.END));
     }
 
     private void serve(Channel channel)
@@ -101,12 +101,12 @@
         {
             while (channel.isActive())
             {
-                Received received = queue.poll(IDLE_SECONDS, TimeUnit.SECONDS);
-                if (received == null || received == Received.END)
+                QueuedRequest received = queue.poll(IDLE_SECONDS, TimeUnit.SECONDS);
+                if (received == null || received == QueuedRequest.END)
                 {
                     break;
                 }
-                answer(channel, received);
+                handle(channel, received);
                 channel.read();
             }
         }
@@ -120,14 +120,14 @@
         }
     }
 
-    private void answer(Channel channel, Received received) throws InterruptedException
+    private void handle(Channel channel, QueuedRequest received) throws InterruptedException
     {
         boolean keepAlive = received.keepAlive && !closing.get();
         HttpExchange exchange = new HttpExchange(channel, received.message, keepAlive);
         if (received.message == null)
         {
             events.record(EventType.CALLER_BAD_REQUEST, String.valueOf(channel.remoteAddress()),
-                    received.fault);
+                    received.error);
             exchange.respond(HttpReply.error(ResultCode.BAD_REQUEST, "not a valid HTTP request"), true);
             return;
         }
@@ -138,12 +138,12 @@
         }
         catch (GaugehollowException e)
         {
-            respondUnlessBegun(exchange, HttpReply.error(e));
+            respondIfNotStarted(exchange, HttpReply.error(e));
         }
         catch (RuntimeException e)
         {
             events.record(EventType.INTERNAL_FAULT, received.message.path(), String.valueOf(e));
-            respondUnlessBegun(exchange, HttpReply.error(ResultCode.INTERNAL, "a fault inside the box"));
+            respondIfNotStarted(exchange, HttpReply.error(ResultCode.INTERNAL, "internal error"));
         }
         finally
         {
@@ -151,9 +151,10 @@
         }
     }
 
-    private static void respondUnlessBegun(HttpExchange exchange, HttpReply reply) throws InterruptedException
+    private static void respondIfNotStarted(HttpExchange exchange, HttpReply reply)
+            throws InterruptedException
     {
-        if (!exchange.answered())
+        if (!exchange.isResponseStarted())
         {
             exchange.respond(reply);
         }
--- a/gaugehollow/src/main/java/org/gaugehollow/net/NetAddress.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/NetAddress.java
@@ -12,21 +12,25 @@
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.ResultCode;
 
-/** Reads addresses of the form {@code 127.0.0.1:8080} or {@code [::1]:8080}. Names are refused. */
+/**
+ * Parses addresses of the form {@code 127.0.0.1:8080} or {@code [::1]:8080}; host names are
+ * rejected.
+ */
 public final class NetAddress
 {
-    private static final Pattern IP4 = Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}");
-    private static final Pattern IP6 = Pattern.compile("\\[[0-9a-fA-F:.]+]");
-    private static final int HIGHEST_PORT = 65_535;
+    private static final Pattern IPV4 = Pattern.compile("\\d{1,3}(\\.\\d{1,3}){3}");
+    private static final Pattern IPV6 = Pattern.compile("\\[[0-9a-fA-F:.]+]");
+    private static final int MAX_PORT = 65_535;
 
     private NetAddress()
     {
     }
 
     /**
-     * @param text IP number and port
+     * @param text an IP address and port
      * @return the address
-     * @throws GaugehollowException with {@link ResultCode#RESOURCE_INVALID} if the text is not one
+     * @throws GaugehollowException with {@link ResultCode#RESOURCE_INVALID} if the text is not a valid
+     *             address
      */
     public static InetSocketAddress parse(String text)
     {
@@ -36,14 +40,14 @@
             throw invalid(text);
         }
         String host = text.substring(0, colon);
-        if (!IP4.matcher(host).matches() && !IP6.matcher(host).matches())
+        if (!IPV4.matcher(host).matches() && !IPV6.matcher(host).matches())
         {
             throw invalid(text);
         }
         try
         {
             int port = Integer.parseInt(text.substring(colon + 1));
-            if (port < 0 || port > HIGHEST_PORT)
+            if (port < 0 || port > MAX_PORT)
             {
                 throw invalid(text);
             }
@@ -57,7 +61,7 @@
 
     /**
      * @param address an address
-     * @return the form that {@link #parse} reads
+     * @return the text form accepted by {@link #parse}
      */
     public static String format(InetSocketAddress address)
     {
@@ -68,6 +72,6 @@
     private static GaugehollowException invalid(String text)
     {
         return new GaugehollowException(ResultCode.RESOURCE_INVALID,
-                "expected an IP number and a port such as 127.0.0.1:8080, found \"" + text + '"');
+                "expected an IP address and a port such as 127.0.0.1:8080, found \"" + text + '"');
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/net/NetLoops.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/NetLoops.java
@@ -16,34 +16,34 @@
 import io.netty.channel.socket.nio.NioSocketChannel;
 import io.netty.util.concurrent.DefaultThreadFactory;
 
-/** The event loops of a process. They only move bytes; virtual threads do the work. */
+/** The event loops of a process. They perform only I/O; requests are handled on virtual threads. */
 public final class NetLoops implements AutoCloseable
 {
     private static final int THREADS = 2;
 
     private final EventLoopGroup group = new MultiThreadIoEventLoopGroup(THREADS,
             new DefaultThreadFactory("net", true), NioIoHandler.newFactory());
-    private final Optional<InetAddress> source;
+    private final Optional<InetAddress> sourceAddress;
 
     /**
-     * @param source the address that outgoing connections come from, if it is to be a certain one
+     * @param sourceAddress the local address of outgoing connections; empty lets the system choose
      */
-    public NetLoops(Optional<InetAddress> source)
+    public NetLoops(Optional<InetAddress> sourceAddress)
     {
-        this.source = source;
+        this.sourceAddress = sourceAddress;
     }
 
-    /** @return the group for servers */
+    /** @return the event loop group for servers */
     public EventLoopGroup group()
     {
         return group;
     }
 
-    /** @return a new client bootstrap over these loops */
+    /** @return a new client bootstrap that uses these event loops */
     public Bootstrap client()
     {
         Bootstrap bootstrap = new Bootstrap().group(group).channel(NioSocketChannel.class);
-        source.ifPresent(address -> bootstrap.localAddress(new InetSocketAddress(address, 0)));
+        sourceAddress.ifPresent(address -> bootstrap.localAddress(new InetSocketAddress(address, 0)));
         return bootstrap;
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/EtcdStore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/EtcdStore.java
@@ -27,7 +27,7 @@
 
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 
-/** The platform's service by the etcd v3 protocol in its published JSON form over HTTP. */
+/** A store client for the JSON gateway of the etcd v3 API. */
 public final class EtcdStore implements PlatformStore
 {
     private static final int OK = 200;
@@ -39,10 +39,10 @@
     private final int timeoutMillis;
 
     /**
-     * @param caller reaches the service
-     * @param budget this box's share of calls
+     * @param caller the HTTP client of the store
+     * @param budget limits the call rate of this box
      * @param metrics counts the calls
-     * @param timeoutMillis how long one call may take
+     * @param timeoutMillis timeout of one call, in milliseconds
      */
     public EtcdStore(HttpCaller caller, StoreBudget budget, Metrics metrics, int timeoutMillis)
     {
@@ -55,23 +55,24 @@
     @Override
     public Optional<StoredValue> get(String key) throws InterruptedException
     {
-        JsonNode answer = call("read", "/v3/kv/range", object().put("key", encode(key)));
-        List<StoredValue> values = valuesOf(answer);
+        JsonNode response = call("read", "/v3/kv/range", newObject().put("key", encode(key)));
+        List<StoredValue> values = valuesOf(response);
         return values.isEmpty() ? Optional.empty() : Optional.of(values.getFirst());
     }
 
     @Override
     public StoreListing list(String prefix) throws InterruptedException
     {
-        ObjectNode request = object().put("key", encode(prefix)).put("range_end", encode(endOf(prefix)));
-        JsonNode answer = call("read", "/v3/kv/range", request);
-        return new StoreListing(answer.path("header").path("revision").asLong(), valuesOf(answer));
+        ObjectNode request = newObject().put("key", encode(prefix)).put("range_end",
+                encode(rangeEnd(prefix)));
+        JsonNode response = call("read", "/v3/kv/range", request);
+        return new StoreListing(response.path("header").path("revision").asLong(), valuesOf(response));
     }
 
     @Override
     public Optional<Long> commit(StoreTransaction transaction) throws InterruptedException
     {
-        ObjectNode request = object();
+        ObjectNode request = newObject();
         ArrayNode compare = request.putArray("compare");
         for (StoreTransaction.Condition condition : transaction.conditions())
         {
@@ -83,9 +84,9 @@
         {
             addWrite(success.addObject(), write);
         }
-        JsonNode answer = call("write", "/v3/kv/txn", request);
-        boolean applied = answer.path("succeeded").asBoolean(false);
-        return applied ? Optional.of(answer.path("header").path("revision").asLong()) : Optional.empty();
+        JsonNode response = call("write", "/v3/kv/txn", request);
+        boolean applied = response.path("succeeded").asBoolean(false);
+        return applied ? Optional.of(response.path("header").path("revision").asLong()) : Optional.empty();
     }
 
     private static void addWrite(ObjectNode operation, StoreTransaction.Write write)
@@ -107,11 +108,13 @@
     public long grantLease(int millis) throws InterruptedException
     {
         int seconds = (millis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
-        JsonNode answer = call("lease", "/v3/lease/grant", object().put("TTL", Integer.toString(seconds)));
-        long id = answer.path("ID").asLong();
+        JsonNode response = call("lease", "/v3/lease/grant",
+                newObject().put("TTL", Integer.toString(seconds)));
+        long id = response.path("ID").asLong();
         if (id == 0)
         {
-            throw new GaugehollowException(ResultCode.STORE_BAD_ANSWER, "a lease without an id");
+            throw new GaugehollowException(ResultCode.STORE_BAD_ANSWER,
+                    "the store granted a lease without an id");
         }
         return id;
     }
@@ -119,24 +122,25 @@
     @Override
     public boolean renewLease(long lease) throws InterruptedException
     {
-        JsonNode answer = call("lease", "/v3/lease/keepalive", object().put("ID", Long.toString(lease)));
-        return answer.path("result").path("TTL").asLong() > 0;
+        JsonNode response = call("lease", "/v3/lease/keepalive", newObject().put("ID", Long.toString(lease)));
+        return response.path("result").path("TTL").asLong() > 0;
     }
 
     @Override
     public void revokeLease(long lease) throws InterruptedException
     {
-        call("lease", "/v3/lease/revoke", object().put("ID", Long.toString(lease)));
+        call("lease", "/v3/lease/revoke", newObject().put("ID", Long.toString(lease)));
     }
 
     @Override
     public StoreWatch watch(String prefix, long fromRevision) throws InterruptedException
     {
         budget.acquire();
-        ObjectNode request = object();
-        request.putObject("create_request").put("key", encode(prefix)).put("range_end", encode(endOf(prefix)))
+        ObjectNode request = newObject();
+        request.putObject("create_request").put("key", encode(prefix))
+                .put("range_end", encode(rangeEnd(prefix)))
                 .put("start_revision", Long.toString(fromRevision));
-        HttpConnection connection = open();
+        HttpConnection connection = openConnection();
         HttpMessage message = new HttpMessage("POST", "/v3/watch", "", new DefaultHttpHeaders(),
                 Json.write(request));
         HttpReply head = connection.openStream(message, deadline());
@@ -145,12 +149,12 @@
         {
             connection.close();
             throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE,
-                    "the watch was refused: " + head.status());
+                    "the store rejected the watch with status " + head.status());
         }
         return new EtcdWatch(connection);
     }
 
-    private HttpConnection open() throws InterruptedException
+    private HttpConnection openConnection() throws InterruptedException
     {
         try
         {
@@ -179,15 +183,12 @@
         if (reply.status() != OK)
         {
             throw new GaugehollowException(codeOfStatus(reply.status()),
-                    "the store answered " + reply.status());
+                    "the store responded with status " + reply.status());
         }
         return Json.read(reply.body(), JsonNode.class, ResultCode.STORE_BAD_ANSWER);
     }
 
-    /**
-     * A write whose request left this box may have been applied; only one that could not be sent was
-     * surely not.
-     */
+    /** Maps a failed call to a result code. A write that was sent may have been applied. */
     private static ResultCode codeOfFailure(String kind, ResultCode cause)
     {
         boolean notSent = cause == ResultCode.UPSTREAM_REFUSED;
@@ -198,8 +199,8 @@
 
     private static ResultCode codeOfStatus(int status)
     {
-        int tooMany = ResultCode.QUOTA_EXCEEDED.httpStatus();
-        return status == tooMany ? ResultCode.STORE_UNAVAILABLE : ResultCode.STORE_OUTCOME_UNKNOWN;
+        int tooManyRequests = ResultCode.QUOTA_EXCEEDED.httpStatus();
+        return status == tooManyRequests ? ResultCode.STORE_UNAVAILABLE : ResultCode.STORE_OUTCOME_UNKNOWN;
     }
 
     private long deadline()
@@ -207,10 +208,10 @@
         return SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
     }
 
-    private static List<StoredValue> valuesOf(JsonNode answer)
+    private static List<StoredValue> valuesOf(JsonNode response)
     {
         List<StoredValue> values = new ArrayList<>();
-        for (JsonNode kv : answer.path("kvs"))
+        for (JsonNode kv : response.path("kvs"))
         {
             values.add(new StoredValue(decodeText(kv.path("key").asText()), decode(kv.path("value").asText()),
                     kv.path("mod_revision").asLong()));
@@ -218,7 +219,7 @@
         return values;
     }
 
-    private static ObjectNode object()
+    private static ObjectNode newObject()
     {
         return Json.mapper().createObjectNode();
     }
@@ -238,8 +239,8 @@
         return new String(decode(base64), StandardCharsets.UTF_8);
     }
 
-    /** The first key after all that start with the prefix; prefixes end in an ASCII character. */
-    private static String endOf(String prefix)
+    /** Returns the exclusive end of a prefix range; the prefix must end in an ASCII character. */
+    private static String rangeEnd(String prefix)
     {
         int last = prefix.length() - 1;
         return prefix.substring(0, last) + (char) (prefix.charAt(last) + 1);
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/EtcdWatch.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/EtcdWatch.java
@@ -17,11 +17,11 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Reads the lines of a watch's streamed answer. */
+/** Parses the streamed response of an etcd watch, one JSON object per line. */
 final class EtcdWatch implements StoreWatch
 {
     private final HttpConnection connection;
-    private final ByteArrayOutputStream partial = new ByteArrayOutputStream();
+    private final ByteArrayOutputStream partialLine = new ByteArrayOutputStream();
 
     EtcdWatch(HttpConnection connection)
     {
@@ -31,32 +31,32 @@
     @Override
     public List<StoreChange> poll(int timeoutMillis) throws InterruptedException
     {
-        byte[] piece;
+        byte[] chunk;
         try
         {
-            piece = connection.readChunk(SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis),
+            chunk = connection.readChunk(SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis),
                     true);
         }
         catch (GaugehollowException e)
         {
-            throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "the watch ended: " + e.getMessage(),
-                    e);
+            throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE,
+                    "the watch was lost: " + e.getMessage(), e);
         }
-        if (piece == null)
+        if (chunk == null)
         {
-            throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "the watch ended");
+            throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "the store closed the watch");
         }
         List<StoreChange> changes = new ArrayList<>();
-        for (byte b : piece)
+        for (byte b : chunk)
         {
             if (b == '\n')
             {
-                readLine(partial.toByteArray(), changes);
-                partial.reset();
+                readLine(partialLine.toByteArray(), changes);
+                partialLine.reset();
             }
             else
             {
-                partial.write(b);
+                partialLine.write(b);
             }
         }
         return changes;
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/HedgedCall.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/HedgedCall.java
@@ -14,101 +14,101 @@
 import org.gaugehollow.model.TryOutcomes;
 
 /**
- * Sends a call again while the ones before have no answer, and takes the first answer. For calls
- * that must not wait for an answer that was lost, and do no harm if they are carried out twice:
- * reads, and writes under a condition that the write itself ends.
+ * Repeats a call while earlier attempts are unanswered and returns the first answer. Suitable for
+ * calls that are safe to execute twice: reads, and conditional writes whose condition no longer
+ * holds once they are applied.
  */
 public final class HedgedCall
 {
-    private static final int NEXT_MILLIS = 350;
-    private static final int MOST = 3;
+    private static final int HEDGE_DELAY_MILLIS = 350;
+    private static final int MAX_ATTEMPTS = 3;
 
     private HedgedCall()
     {
     }
 
     /**
-     * A call.
+     * A call that can be repeated.
      *
-     * @param <T> what it brings
+     * @param <T> the type of the result
      */
     @FunctionalInterface
     public interface Call<T>
     {
         /**
          * @return the answer
-         * @throws InterruptedException if the process stops
+         * @throws InterruptedException if the thread is interrupted
          */
         T run() throws InterruptedException;
     }
 
     /**
-     * Reads.
+     * Executes a read.
      *
-     * @param call the call, which may run several times side by side
-     * @param <T> what it brings
+     * @param call the call, which may run several times concurrently
+     * @param <T> the type of the result
      * @return the first answer
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException the first failure, if no try was answered before
+     * @throws InterruptedException if the thread is interrupted
+     * @throws GaugehollowException the first failure, if no attempt succeeded before it
      */
     public static <T> T read(Call<T> call) throws InterruptedException
     {
-        return new Tries<>(call, false).run();
+        return new Attempts<>(call, false).run();
     }
 
     /**
-     * Writes.
+     * Executes a write.
      *
-     * @param call the call, which may run several times side by side
-     * @param <T> what it brings
+     * @param call the call, which may run several times concurrently
+     * @param <T> the type of the result
      * @return the first answer
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException {@code STORE_OUTCOME_UNKNOWN} if a try may have been carried out, or
-     *             may be yet; else the refusal of the newest try
+     * @throws InterruptedException if the thread is interrupted
+     * @throws GaugehollowException {@code STORE_OUTCOME_UNKNOWN} if an attempt may have been or may
+     *             still be applied; otherwise the failure of the latest attempt
      */
     public static <T> T write(Call<T> call) throws InterruptedException
     {
-        return new Tries<>(call, true).run();
+        return new Attempts<>(call, true).run();
     }
 
-    /** The tries of one call. */
-    private static final class Tries<T>
+    /** The attempts of one call. */
+    private static final class Attempts<T>
     {
         private final Call<T> call;
-        private final boolean writes;
+        private final boolean write;
         private final TryOutcomes outcomes = new TryOutcomes();
         private final CompletableFuture<T> result = new CompletableFuture<>();
 
-        Tries(Call<T> call, boolean writes)
+        Attempts(Call<T> call, boolean write)
         {
             this.call = call;
-            this.writes = writes;
+            this.write = write;
         }
 
         T run() throws InterruptedException
         {
             try
             {
-                for (int sent = 1; sent < MOST; sent++)
+                for (int attempt = 1; attempt < MAX_ATTEMPTS; attempt++)
                 {
-                    send();
-                    if (isOverWithin(NEXT_MILLIS))
+                    startAttempt();
+                    if (completesWithin(HEDGE_DELAY_MILLIS))
                     {
                         return result.get();
                     }
                 }
-                send();
+                startAttempt();
                 return result.get();
             }
             catch (ExecutionException e)
             {
-                throw e.getCause() instanceof GaugehollowException known
-                        ? known
+                throw e.getCause() instanceof GaugehollowException failure
+                        ? failure
                         : new IllegalStateException(e);
             }
         }
 
-        private boolean isOverWithin(int millis) throws InterruptedException, ExecutionException
+        private boolean completesWithin(int millis) throws InterruptedException, ExecutionException
         {
             try
             {
@@ -121,15 +121,15 @@
             }
         }
 
-        private void send()
+        private void startAttempt()
         {
             if (outcomes.begin())
             {
-                Thread.ofVirtual().name("hedged-call").start(this::runTry);
+                Thread.ofVirtual().name("hedged-call").start(this::runAttempt);
             }
         }
 
-        private void runTry()
+        private void runAttempt()
         {
             try
             {
@@ -137,7 +137,7 @@
             }
             catch (GaugehollowException e)
             {
-                failed(e);
+                onFailure(e);
             }
             catch (InterruptedException e)
             {
@@ -151,14 +151,13 @@
         }
 
         /**
-         * A write that is turned away says nothing of one that is still under way: that one is carried out
-         * up to seconds after its sender gave it up. Of refusals told without waiting for it, 230 tasks
-         * were started on three days of lost answers and boxes turned away.
+         * Fails a read immediately, but a write only once its outcome is decided: an attempt that is still
+         * pending may be applied after another one was rejected.
          */
-        private void failed(GaugehollowException failure)
+        private void onFailure(GaugehollowException failure)
         {
             Optional<GaugehollowException> decided = outcomes.end(failure);
-            if (writes)
+            if (write)
             {
                 decided.ifPresent(result::completeExceptionally);
             }
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/HttpWorkerRoster.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/HttpWorkerRoster.java
@@ -19,8 +19,9 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * The list in the published form of Prometheus' HTTP service discovery: an array of groups, each
- * with {@code targets} and {@code labels}. The labels name worker, hall, rack, amounts and state.
+ * Reads the worker list in the format of Prometheus HTTP service discovery: an array of groups,
+ * each with {@code targets} and {@code labels}. The labels hold the worker's id, data hall, rack,
+ * capacity and state.
  */
 public final class HttpWorkerRoster implements WorkerRoster
 {
@@ -31,9 +32,9 @@
     private final int timeoutMillis;
 
     /**
-     * @param caller reaches the list
-     * @param path its path
-     * @param timeoutMillis how long one read may take
+     * @param caller the HTTP client of the list
+     * @param path the path of the list
+     * @param timeoutMillis timeout of one read, in milliseconds
      */
     public HttpWorkerRoster(HttpCaller caller, String path, int timeoutMillis)
     {
@@ -57,63 +58,65 @@
         if (reply.status() != OK)
         {
             throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE,
-                    "the list answered " + reply.status());
+                    "the worker list responded with status " + reply.status());
         }
         return parse(reply.body());
     }
 
     /**
-     * @param body the list's bytes
-     * @return its workers
-     * @throws GaugehollowException with {@code STORE_BAD_ANSWER} if it is not such a list
+     * @param body the response body
+     * @return the listed workers
+     * @throws GaugehollowException with {@code STORE_BAD_ANSWER} if the body is not a valid list
      */
     public static List<Worker> parse(byte[] body)
     {
         JsonNode groups = Json.read(body, JsonNode.class, ResultCode.STORE_BAD_ANSWER);
         if (!groups.isArray())
         {
-            throw new GaugehollowException(ResultCode.STORE_BAD_ANSWER, "the list is not an array");
+            throw new GaugehollowException(ResultCode.STORE_BAD_ANSWER,
+                    "the worker list is not a JSON array");
         }
         List<Worker> workers = new ArrayList<>();
         for (JsonNode group : groups)
         {
             for (JsonNode target : group.path("targets"))
             {
-                workers.add(workerOf(target.asText(), group.path("labels")));
+                workers.add(parseWorker(target.asText(), group.path("labels")));
             }
         }
         return workers;
     }
 
-    private static Worker workerOf(String address, JsonNode labels)
+    private static Worker parseWorker(String address, JsonNode labels)
     {
         try
         {
             NetAddress.parse(address);
-            ComputeResources capacity = new ComputeResources(number(labels, "slots"),
-                    number(labels, "cpu_millis"), number(labels, "memory_mib"),
-                    number(labels, "accelerators"));
-            return new Worker(text(labels, "worker"), address, text(labels, "hall"), text(labels, "rack"),
-                    capacity, "leaving".equals(text(labels, "state")));
+            ComputeResources capacity = new ComputeResources(intLabel(labels, "slots"),
+                    intLabel(labels, "cpu_millis"), intLabel(labels, "memory_mib"),
+                    intLabel(labels, "accelerators"));
+            return new Worker(textLabel(labels, "worker"), address, textLabel(labels, "hall"),
+                    textLabel(labels, "rack"), capacity, "leaving".equals(textLabel(labels, "state")));
         }
         catch (GaugehollowException | NumberFormatException e)
         {
             throw new GaugehollowException(ResultCode.STORE_BAD_ANSWER,
-                    "a worker of the list: " + e.getMessage(), e);
+                    "invalid entry in the worker list: " + e.getMessage(), e);
         }
     }
 
-    private static int number(JsonNode labels, String name)
+    private static int intLabel(JsonNode labels, String name)
     {
-        return Integer.parseInt(text(labels, name));
+        return Integer.parseInt(textLabel(labels, name));
     }
 
-    private static String text(JsonNode labels, String name)
+    private static String textLabel(JsonNode labels, String name)
     {
         JsonNode value = labels.path(name);
         if (!value.isTextual())
         {
-            throw new GaugehollowException(ResultCode.STORE_BAD_ANSWER, "label " + name + " is missing");
+            throw new GaugehollowException(ResultCode.STORE_BAD_ANSWER,
+                    "label \"" + name + "\" is missing or not a string");
         }
         return value.asText();
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/KeyFollower.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/KeyFollower.java
@@ -13,66 +13,70 @@
 import org.gaugehollow.supervise.SupervisedTask;
 
 /**
- * Follows all keys under a prefix: reads them once, then watches them. A watch that ends is opened
- * again where it ended; all is read again once the store has forgotten what came after. Each key's
- * changes are delivered in order; a change may be delivered twice.
+ * Follows all keys under a prefix: lists them once, then watches them. A lost watch is resumed at
+ * its last revision; if the store has compacted that revision, the keys are listed again. Changes
+ * of a key are delivered in order and at least once.
  */
 public final class KeyFollower implements SupervisedTask
 {
     private static final int POLL_MILLIS = 2_000;
-    private static final int FIRST_RETRY_MILLIS = 50;
-    private static final int LONGEST_RETRY_MILLIS = 400;
+    private static final int MIN_RETRY_DELAY_MILLIS = 50;
+    private static final int MAX_RETRY_DELAY_MILLIS = 400;
     private static final long NOT_LISTED = -1;
 
-    /** Receives what is followed. */
+    /** Receives the state and the changes of the followed keys. */
     public interface Listener
     {
         /**
-         * @param key a key that was written
-         * @param value its value
+         * Called for each key that exists or was written.
+         *
+         * @param key the key
+         * @param value the value
          * @param revision the revision of the write
          */
         void onPut(String key, byte[] value, long revision);
 
         /**
-         * @param key a key that is gone
-         * @param revision the revision at which it was known to be gone
+         * Called for each key that was removed.
+         *
+         * @param key the key
+         * @param revision the revision at which the removal was observed
          */
         void onRemoved(String key, long revision);
 
         /**
-         * All keys were delivered as they stood at a revision.
+         * Called after all keys of a listing were delivered.
          *
-         * @param revision the revision
+         * @param revision the revision of the listing
          */
         void onListed(long revision);
     }
 
     private final PlatformStore store;
     private final String prefix;
-    private final KeyListing listing;
+    private final KeyTracker tracker;
     private final EventLog events;
     private long revision = NOT_LISTED;
-    private boolean lost;
+    private boolean watchLost;
 
     /**
-     * @param store the platform's store
-     * @param prefix the start of the keys
-     * @param listener receives the changes, on this task's thread
-     * @param events where lost and regained watches are recorded
+     * @param store the store
+     * @param prefix the prefix of the keys
+     * @param listener receives the changes, on the thread of this task
+     * @param events records lost and resumed watches
      */
     public KeyFollower(PlatformStore store, String prefix, Listener listener, EventLog events)
     {
         this.store = store;
         this.prefix = prefix;
-        this.listing = new KeyListing(listener);
+        this.tracker = new KeyTracker(listener);
         this.events = events;
     }
 
     @Override
     public void run() throws InterruptedException
     {
-        int pause = FIRST_RETRY_MILLIS;
+        int retryDelayMillis = MIN_RETRY_DELAY_MILLIS;
         while (true)
         {
             try
@@ -81,33 +85,33 @@
                 {
                     list();
                 }
-                pause = FIRST_RETRY_MILLIS;
+                retryDelayMillis = MIN_RETRY_DELAY_MILLIS;
                 watch();
             }
             catch (GaugehollowException e)
             {
                 revision = e.code() == ResultCode.WATCH_TOO_OLD ? NOT_LISTED : revision;
-                noteLost(e);
+                recordLost(e);
             }
-            Thread.sleep(pause);
-            pause = Math.min(LONGEST_RETRY_MILLIS, pause * 2);
+            Thread.sleep(retryDelayMillis);
+            retryDelayMillis = Math.min(MAX_RETRY_DELAY_MILLIS, retryDelayMillis * 2);
         }
     }
 
-    private void noteLost(GaugehollowException e)
+    private void recordLost(GaugehollowException e)
     {
-        if (!lost)
+        if (!watchLost)
         {
-            lost = true;
+            watchLost = true;
             events.record(EventType.STORE_WATCH_LOST, prefix, e.getMessage());
         }
     }
 
     private void list() throws InterruptedException
     {
-        StoreListing all = store.list(prefix);
-        listing.deliver(all);
-        revision = all.revision();
+        StoreListing current = store.list(prefix);
+        tracker.deliver(current);
+        revision = current.revision();
     }
 
     private void watch() throws InterruptedException
@@ -117,17 +121,17 @@
             while (true)
             {
                 List<StoreChange> changes = watch.poll(POLL_MILLIS);
-                noteRegained();
+                recordRegained();
                 changes.forEach(this::deliver);
             }
         }
     }
 
-    private void noteRegained()
+    private void recordRegained()
     {
-        if (lost)
+        if (watchLost)
         {
-            lost = false;
+            watchLost = false;
             events.record(EventType.STORE_WATCH_REGAINED, prefix, "after revision " + revision);
         }
     }
@@ -137,9 +141,9 @@
         revision = change.revision();
         if (change.deleted())
         {
-            listing.remove(change.key(), change.revision());
+            tracker.remove(change.key(), change.revision());
             return;
         }
-        listing.put(change.key(), change.value(), change.revision());
+        tracker.put(change.key(), change.value(), change.revision());
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/KeyPoller.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/KeyPoller.java
@@ -10,24 +10,24 @@
 import org.gaugehollow.supervise.SupervisedTask;
 
 /**
- * Reads all keys under a prefix again and again. It costs fewer calls than a watch where the keys
- * change more often than they need to be known.
+ * Lists all keys under a prefix periodically. Needs fewer calls than a watch if the keys change
+ * more often than they have to be read.
  */
 public final class KeyPoller implements SupervisedTask
 {
     private final PlatformStore store;
     private final String prefix;
     private final int periodMillis;
-    private final KeyListing listing;
+    private final KeyTracker tracker;
     private final EventLog events;
     private boolean lost;
 
     /**
-     * @param store the platform's store
-     * @param prefix the start of the keys
-     * @param periodMillis the time from one reading to the next, in milliseconds
-     * @param listener receives what is there, on this task's thread
-     * @param events where lost and regained readings are recorded
+     * @param store the store
+     * @param prefix the prefix of the keys
+     * @param periodMillis pause between two listings, in milliseconds
+     * @param listener receives the listed keys, on the thread of this task
+     * @param events records failed and resumed listings
      */
     public KeyPoller(PlatformStore store, String prefix, int periodMillis, KeyFollower.Listener listener,
             EventLog events)
@@ -35,7 +35,7 @@
         this.store = store;
         this.prefix = prefix;
         this.periodMillis = periodMillis;
-        this.listing = new KeyListing(listener);
+        this.tracker = new KeyTracker(listener);
         this.events = events;
     }
 
@@ -46,23 +46,24 @@
         {
             try
             {
-                listing.deliver(store.list(prefix));
-                note(false, "");
+                tracker.deliver(store.list(prefix));
+                updateLost(false, "");
             }
             catch (GaugehollowException e)
             {
-                note(true, e.getMessage());
+                updateLost(true, e.getMessage());
             }
             Thread.sleep(periodMillis);
         }
     }
 
-    private void note(boolean nowLost, String why)
+    private void updateLost(boolean nowLost, String reason)
     {
         if (nowLost != lost)
         {
             lost = nowLost;
-            events.record(nowLost ? EventType.STORE_WATCH_LOST : EventType.STORE_WATCH_REGAINED, prefix, why);
+            events.record(nowLost ? EventType.STORE_WATCH_LOST : EventType.STORE_WATCH_REGAINED, prefix,
+                    reason);
         }
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/KeyListing.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/KeyTracker.java
@@ -7,27 +7,27 @@
 import java.util.HashSet;
 import java.util.Set;
 
-/** Delivers whole listings of keys, and tells which keys are gone since the one before. */
-final class KeyListing
+/** Delivers listings of keys to a listener and detects keys that were removed between listings. */
+final class KeyTracker
 {
     private final KeyFollower.Listener listener;
     private final Set<String> known = new HashSet<>();
 
-    KeyListing(KeyFollower.Listener listener)
+    KeyTracker(KeyFollower.Listener listener)
     {
         this.listener = listener;
     }
 
-    /** Delivers all that is there and then all that is not there any more. */
+    /** Delivers all listed keys, then the removal of known keys that are no longer listed. */
     void deliver(StoreListing listing)
     {
-        Set<String> gone = new HashSet<>(known);
+        Set<String> removed = new HashSet<>(known);
         for (StoredValue value : listing.values())
         {
-            gone.remove(value.key());
+            removed.remove(value.key());
             put(value.key(), value.value(), value.modRevision());
         }
-        gone.forEach(key -> remove(key, listing.revision()));
+        removed.forEach(key -> remove(key, listing.revision()));
         listener.onListed(listing.revision());
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/MonitoredStore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/MonitoredStore.java
@@ -16,34 +16,34 @@
 import org.gaugehollow.model.GaugehollowException;
 
 /**
- * Passes calls on to a store and notes whether it answers. It counts as silent after two failed
- * calls without an answer between them and half a second without any answer, or when calls have
- * been open for a while in which none was answered; the next answer ends that. Watches that were
- * open until then are ended, since what they wait for may never come.
+ * Delegates to a store and monitors whether it responds. The store counts as unresponsive after
+ * several consecutive failures without an answer for some time, or when open calls remain
+ * unanswered for some time. The next answer ends the outage and closes the watches opened before,
+ * because they may have missed changes.
  */
 public final class MonitoredStore implements PlatformStore
 {
-    private static final int FAILURES = 2;
-    private static final long SILENCE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
-    private static final long UNANSWERED_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
-    private static final long STEADY_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
+    private static final int MIN_FAILURES = 2;
+    private static final long MIN_OUTAGE_NANOS = TimeUnit.MILLISECONDS.toNanos(500);
+    private static final long MAX_UNANSWERED_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
+    private static final long MIN_STABLE_NANOS = TimeUnit.MILLISECONDS.toNanos(600);
 
     private final PlatformStore store;
     private final EventLog events;
     private final LongSupplier nanoTime;
     private final Set<MonitoredWatch> watches = ConcurrentHashMap.newKeySet();
-    private int failures;
-    private long answeredNanos;
-    private long failedNanos;
-    private boolean silent;
-    private long silences;
-    private int open;
-    /** Since when calls have been open without any answer. */
-    private long unansweredNanos;
+    private int consecutiveFailures;
+    private long lastAnswerNanos;
+    private long lastFailureNanos;
+    private boolean unresponsive;
+    private long outageCount;
+    private int openCalls;
+    /** Start of the time in which calls have been open without an answer. */
+    private long unansweredSinceNanos;
 
     /**
-     * @param store the store
-     * @param events where loss and return of the store are recorded
+     * @param store the monitored store
+     * @param events records outages and recoveries of the store
      * @param nanoTime a monotonic clock
      */
     public MonitoredStore(PlatformStore store, EventLog events, LongSupplier nanoTime)
@@ -51,146 +51,146 @@
         this.store = store;
         this.events = events;
         this.nanoTime = nanoTime;
-        this.answeredNanos = nanoTime.getAsLong();
-        this.failedNanos = answeredNanos;
+        this.lastAnswerNanos = nanoTime.getAsLong();
+        this.lastFailureNanos = lastAnswerNanos;
     }
 
-    /** One call to the store. */
+    /** A call to the store. */
     private interface Call<T>
     {
         T run() throws InterruptedException;
     }
 
-    private <T> T watched(Call<T> call) throws InterruptedException
+    private <T> T callMonitored(Call<T> call) throws InterruptedException
     {
-        opened();
+        onCallStarted();
         try
         {
             T result = call.run();
-            answered();
+            onAnswer();
             return result;
         }
         catch (GaugehollowException e)
         {
-            failed(e);
+            onFailure(e);
             throw e;
         }
         finally
         {
-            closed();
+            onCallEnded();
         }
     }
 
-    private synchronized void opened()
+    private synchronized void onCallStarted()
     {
-        if (open == 0)
+        if (openCalls == 0)
         {
-            unansweredNanos = nanoTime.getAsLong();
+            unansweredSinceNanos = nanoTime.getAsLong();
         }
-        open++;
+        openCalls++;
     }
 
-    private synchronized void closed()
+    private synchronized void onCallEnded()
     {
-        open--;
+        openCalls--;
     }
 
-    private void answered()
+    private void onAnswer()
     {
-        if (noteAnswer())
+        if (recordAnswer())
         {
             events.record(EventType.STORE_FOUND, events.process(), "a call was answered");
             watches.forEach(MonitoredWatch::close);
         }
     }
 
-    /** Whether the answer ends a silence. */
-    private synchronized boolean noteAnswer()
+    /** Records an answer and returns whether it ends an outage. */
+    private synchronized boolean recordAnswer()
     {
-        boolean found = silent;
-        failures = 0;
-        answeredNanos = nanoTime.getAsLong();
-        unansweredNanos = answeredNanos;
-        silent = false;
-        return found;
+        boolean recovered = unresponsive;
+        consecutiveFailures = 0;
+        lastAnswerNanos = nanoTime.getAsLong();
+        unansweredSinceNanos = lastAnswerNanos;
+        unresponsive = false;
+        return recovered;
     }
 
-    private synchronized void failed(GaugehollowException e)
+    private synchronized void onFailure(GaugehollowException e)
     {
-        failures++;
-        failedNanos = nanoTime.getAsLong();
-        boolean lasting = nanoTime.getAsLong() - answeredNanos > SILENCE_NANOS;
-        if (failures >= FAILURES && lasting)
+        consecutiveFailures++;
+        lastFailureNanos = nanoTime.getAsLong();
+        boolean longEnough = nanoTime.getAsLong() - lastAnswerNanos > MIN_OUTAGE_NANOS;
+        if (consecutiveFailures >= MIN_FAILURES && longEnough)
         {
-            lost(failures + " calls failed: " + e.getMessage());
+            markUnresponsive(consecutiveFailures + " calls failed: " + e.getMessage());
         }
     }
 
-    private void lost(String why)
+    private void markUnresponsive(String reason)
     {
-        if (!silent)
+        if (!unresponsive)
         {
-            silent = true;
-            silences++;
-            events.record(EventType.STORE_LOST, events.process(), why);
+            unresponsive = true;
+            outageCount++;
+            events.record(EventType.STORE_LOST, events.process(), reason);
         }
     }
 
     /**
-     * Whether the store does not answer this box at the moment. Calls that are open count as silence
-     * after a while, before they fail.
+     * Returns whether the store is unresponsive. Open calls that remain unanswered count before they
+     * fail.
      *
-     * @return whether it is silent
+     * @return whether the store is unresponsive
      */
     public synchronized boolean isUnresponsive()
     {
-        if (open > 0 && nanoTime.getAsLong() - unansweredNanos > UNANSWERED_NANOS)
+        if (openCalls > 0 && nanoTime.getAsLong() - unansweredSinceNanos > MAX_UNANSWERED_NANOS)
         {
-            lost(open + " calls have no answer");
+            markUnresponsive(openCalls + " open calls are unanswered");
         }
-        return silent;
+        return unresponsive;
     }
 
-    /** @return how many times the store fell silent since the start */
+    /** @return the number of outages since the start */
     public synchronized long outageCount()
     {
-        return silences;
+        return outageCount;
     }
 
-    /** @return whether the store answers this box and no call has failed for a while */
+    /** @return whether the store is responsive and no call has failed recently */
     public synchronized boolean isStable()
     {
-        return !isUnresponsive() && nanoTime.getAsLong() - failedNanos > STEADY_NANOS;
+        return !isUnresponsive() && nanoTime.getAsLong() - lastFailureNanos > MIN_STABLE_NANOS;
     }
 
     @Override
     public Optional<StoredValue> get(String key) throws InterruptedException
     {
-        return watched(() -> store.get(key));
+        return callMonitored(() -> store.get(key));
     }
 
     @Override
     public StoreListing list(String prefix) throws InterruptedException
     {
-        return watched(() -> store.list(prefix));
+        return callMonitored(() -> store.list(prefix));
     }
 
     @Override
     public Optional<Long> commit(StoreTransaction transaction) throws InterruptedException
     {
-        return watched(() -> store.commit(transaction));
+        return callMonitored(() -> store.commit(transaction));
     }
 
     @Override
     public long grantLease(int millis) throws InterruptedException
     {
-        return watched(() -> store.grantLease(millis));
+        return callMonitored(() -> store.grantLease(millis));
     }
 
     @Override
     public boolean renewLease(long lease) throws InterruptedException
     {
-        return watched(() -> store.renewLease(lease));
+        return callMonitored(() -> store.renewLease(lease));
     }
 
     @Override
@@ -207,7 +207,7 @@
         return watch;
     }
 
-    /** An open watch. */
+    /** A watch that is closed when the store recovers from an outage. */
     private final class MonitoredWatch implements StoreWatch
     {
         private final StoreWatch watch;
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/PlatformStore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/PlatformStore.java
@@ -7,58 +7,60 @@
 import java.util.Optional;
 
 /**
- * The platform's key-value service. A failed read says {@code STORE_UNAVAILABLE}; a failed write
- * says {@code STORE_UNAVAILABLE} only where it was surely not applied,
+ * The platform's key-value store. A failed read throws {@code STORE_UNAVAILABLE}. A failed write
+ * throws {@code STORE_UNAVAILABLE} if it was certainly not applied, and
  * {@code STORE_OUTCOME_UNKNOWN} otherwise.
  */
 public interface PlatformStore extends AutoCloseable
 {
     /**
-     * @param key a key
-     * @return its value, if it exists
-     * @throws InterruptedException if the process stops
+     * @param key the key
+     * @return the value, if the key exists
+     * @throws InterruptedException if the thread is interrupted
      */
     Optional<StoredValue> get(String key) throws InterruptedException;
 
     /**
-     * @param prefix the start of keys
-     * @return all keys that start with it, at one revision
-     * @throws InterruptedException if the process stops
+     * @param prefix the prefix of the keys
+     * @return all keys with the prefix, at one revision
+     * @throws InterruptedException if the thread is interrupted
      */
     StoreListing list(String prefix) throws InterruptedException;
 
     /**
-     * @param transaction conditions and writes
+     * @param transaction the conditions and writes
      * @return the revision of the change, or empty if a condition did not hold
-     * @throws InterruptedException if the process stops
+     * @throws InterruptedException if the thread is interrupted
      */
     Optional<Long> commit(StoreTransaction transaction) throws InterruptedException;
 
     /**
-     * @param millis how long the lease lives without renewal, in milliseconds; a store may round it up
-     * @return its id
-     * @throws InterruptedException if the process stops
+     * @param millis time to live in milliseconds; a store may round it up
+     * @return the id of the lease
+     * @throws InterruptedException if the thread is interrupted
      */
     long grantLease(int millis) throws InterruptedException;
 
     /**
-     * @param lease a lease's id
-     * @return whether the store still knew it and renewed it
-     * @throws InterruptedException if the process stops
+     * @param lease the id of the lease
+     * @return whether the lease existed and was renewed
+     * @throws InterruptedException if the thread is interrupted
      */
     boolean renewLease(long lease) throws InterruptedException;
 
     /**
-     * @param lease a lease's id; its keys go with it
-     * @throws InterruptedException if the process stops
+     * Revokes a lease and removes its keys.
+     *
+     * @param lease the id of the lease
+     * @throws InterruptedException if the thread is interrupted
      */
     void revokeLease(long lease) throws InterruptedException;
 
     /**
-     * @param prefix the start of keys
+     * @param prefix the prefix of the keys
      * @param fromRevision the first revision to report
      * @return an open watch
-     * @throws InterruptedException if the process stops
+     * @throws InterruptedException if the thread is interrupted
      */
     StoreWatch watch(String prefix, long fromRevision) throws InterruptedException;
 
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/StoreBudget.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/StoreBudget.java
@@ -9,7 +9,7 @@
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.ResultCode;
 
-/** Holds this box to its share of the calls that the platform's service takes. Thread-safe. */
+/** Token bucket that limits the rate of store calls of this box. Thread-safe. */
 public final class StoreBudget
 {
     private static final double NANOS_PER_SECOND = 1e9;
@@ -18,11 +18,11 @@
     private final double burst;
     private final LongSupplier nanoTime;
     private double tokens;
-    private long refilledAt;
+    private long lastRefillNanos;
 
     /**
-     * @param callsPerSecond the share
-     * @param burst how many calls may come at once
+     * @param callsPerSecond maximum average call rate
+     * @param burst maximum number of calls in a burst
      * @param nanoTime a monotonic clock
      */
     public StoreBudget(double callsPerSecond, double burst, LongSupplier nanoTime)
@@ -31,24 +31,23 @@
         this.burst = burst;
         this.nanoTime = nanoTime;
         this.tokens = burst;
-        this.refilledAt = nanoTime.getAsLong();
+        this.lastRefillNanos = nanoTime.getAsLong();
     }
 
     /**
-     * Takes one call.
+     * Takes a token for one call.
      *
-     * @throws GaugehollowException with {@link ResultCode#STORE_BUDGET} if none is left; nothing was
-     *             sent
+     * @throws GaugehollowException with {@link ResultCode#STORE_BUDGET} if no token is available
      */
     public synchronized void acquire()
     {
-        long now = nanoTime.getAsLong();
-        tokens = Math.min(burst, tokens + (now - refilledAt) / NANOS_PER_SECOND * callsPerSecond);
-        refilledAt = now;
+        long nowNanos = nanoTime.getAsLong();
+        tokens = Math.min(burst, tokens + (nowNanos - lastRefillNanos) / NANOS_PER_SECOND * callsPerSecond);
+        lastRefillNanos = nowNanos;
         if (tokens < 1)
         {
             throw new GaugehollowException(ResultCode.STORE_BUDGET,
-                    "this box's share of " + callsPerSecond + " calls a second is used up");
+                    "store call limit of " + callsPerSecond + " calls per second exceeded");
         }
         tokens--;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/StoreChange.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/StoreChange.java
@@ -5,10 +5,10 @@
 package org.gaugehollow.platform;
 
 /**
- * A change that a watch reports.
+ * A change reported by a watch.
  *
  * @param key the key
- * @param value the new bytes; empty for a deletion
+ * @param value the new value; empty for a deletion
  * @param revision the store's revision of the change
  * @param deleted whether the key was removed
  */
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/StoreListing.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/StoreListing.java
@@ -9,8 +9,8 @@
 /**
  * All keys under a prefix at one revision.
  *
- * @param revision the store's revision when it was read
- * @param values the keys, in order
+ * @param revision the store's revision at the time of the read
+ * @param values the keys and values, in key order
  */
 public record StoreListing(long revision, List<StoredValue> values)
 {
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/StoreTransaction.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/StoreTransaction.java
@@ -7,25 +7,25 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Writes that are applied together if every condition holds, and not at all otherwise. */
+/** Writes that are applied atomically if all conditions hold. */
 public final class StoreTransaction
 {
     /**
-     * A key's last change must be at this revision; 0 says that the key must not exist.
+     * Requires that a key was last changed at a revision, or does not exist if the revision is 0.
      *
      * @param key the key
-     * @param modRevision the revision
+     * @param modRevision the revision of the last change, 0 if the key must not exist
      */
     public record Condition(String key, long modRevision)
     {
     }
 
     /**
-     * A write; null bytes remove the key.
+     * Writes or removes a key.
      *
      * @param key the key
-     * @param value the bytes
-     * @param lease the lease that the key ends with, 0 for none
+     * @param value the value, null to remove the key
+     * @param lease the id of the lease that the key is attached to, 0 for none
      */
     public record Write(String key, byte[] value, long lease)
     {
@@ -35,9 +35,9 @@
     private final List<Write> writes = new ArrayList<>();
 
     /**
-     * @param key a key
-     * @param modRevision the revision its last change must have; 0 if it must not exist
-     * @return this
+     * @param key the key
+     * @param modRevision the required revision of the last change, 0 if the key must not exist
+     * @return this transaction
      */
     public StoreTransaction require(String key, long modRevision)
     {
@@ -46,9 +46,9 @@
     }
 
     /**
-     * @param key a key
-     * @param value its new bytes
-     * @return this
+     * @param key the key
+     * @param value the new value
+     * @return this transaction
      */
     public StoreTransaction put(String key, byte[] value)
     {
@@ -56,10 +56,10 @@
     }
 
     /**
-     * @param key a key
-     * @param value its new bytes
-     * @param lease the lease that the key ends with
-     * @return this
+     * @param key the key
+     * @param value the new value
+     * @param lease the id of the lease that the key is attached to
+     * @return this transaction
      */
     public StoreTransaction put(String key, byte[] value, long lease)
     {
@@ -68,8 +68,8 @@
     }
 
     /**
-     * @param key a key to remove
-     * @return this
+     * @param key the key to remove
+     * @return this transaction
      */
     public StoreTransaction delete(String key)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/StoreWatch.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/StoreWatch.java
@@ -12,11 +12,11 @@
     /**
      * Waits for changes.
      *
-     * @param timeoutMillis how long to wait
-     * @return the changes in the order of their revisions; empty after the time
-     * @throws InterruptedException if the process stops
-     * @throws org.gaugehollow.model.GaugehollowException if the watch ended; {@code WATCH_TOO_OLD}
-     *             where the store no longer holds the starting revision
+     * @param timeoutMillis timeout in milliseconds
+     * @return the changes in order of revision; empty after a timeout
+     * @throws InterruptedException if the thread is interrupted
+     * @throws org.gaugehollow.model.GaugehollowException if the watch was lost; {@code WATCH_TOO_OLD}
+     *             if the store has compacted the start revision
      */
     List<StoreChange> poll(int timeoutMillis) throws InterruptedException;
 
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/StoredValue.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/StoredValue.java
@@ -5,10 +5,10 @@
 package org.gaugehollow.platform;
 
 /**
- * A key's value in the store.
+ * A key and its value in the store.
  *
  * @param key the key
- * @param value the bytes
+ * @param value the value
  * @param modRevision the store's revision of the last change
  */
 public record StoredValue(String key, byte[] value, long modRevision)
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/WorkerRoster.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/WorkerRoster.java
@@ -8,16 +8,16 @@
 
 import org.gaugehollow.model.Worker;
 
-/** The platform's lagging list of live and leaving workers. */
+/** The platform's list of live and leaving workers. The list may lag behind the actual state. */
 public interface WorkerRoster
 {
     /**
      * Reads the list.
      *
-     * @return the workers that it names, of all halls
-     * @throws InterruptedException if the process stops
-     * @throws org.gaugehollow.model.GaugehollowException with {@code STORE_UNAVAILABLE} if it cannot be
-     *             read
+     * @return the listed workers of all data halls
+     * @throws InterruptedException if the thread is interrupted
+     * @throws org.gaugehollow.model.GaugehollowException with {@code STORE_UNAVAILABLE} if the list
+     *             cannot be read
      */
     List<Worker> read() throws InterruptedException;
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/net/HttpCallerOutcomeTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/net/HttpCallerOutcomeTest.java
@@ -21,11 +21,14 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** What a failed call says of its request: "not sent" only where nothing was. */
+/**
+ * Guards against failed calls that are reported as not sent although the server may have handled
+ * them.
+ */
 class HttpCallerOutcomeTest
 {
     private static final int TIMEOUT_MILLIS = 3_000;
-    private static final int LARGEST_BODY = 1_000;
+    private static final int MAX_BODY_BYTES = 1_000;
     private static final byte[] NO_BODY = new byte[0];
 
     private final NetLoops serverLoops = new NetLoops(Optional.empty());
@@ -33,9 +36,9 @@
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
     private final AtomicInteger handled = new AtomicInteger();
     private final CountDownLatch reached = new CountDownLatch(1);
-    private final CountDownLatch goOn = new CountDownLatch(1);
+    private final CountDownLatch proceed = new CountDownLatch(1);
     private final HttpServer server = new HttpServer(serverLoops, new InetSocketAddress("127.0.0.1", 0),
-            LARGEST_BODY, events, this::handle);
+            MAX_BODY_BYTES, events, this::handle);
     private final HttpCaller caller = new HttpCaller(loops, server.address());
 
     private void handle(HttpExchange exchange) throws InterruptedException
@@ -45,37 +48,37 @@
         {
             case "/held" -> {
                 reached.countDown();
-                assertThat(goOn.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
+                assertThat(proceed.await(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS)).isTrue();
             }
             case "/cut" -> {
                 exchange.abort();
                 return;
             }
             default -> {
-                // answered at once
+                // responds immediately
             }
         }
         exchange.respond(HttpReply.of(200, "text/plain", NO_BODY));
     }
 
     @AfterEach
-    void end()
+    void close()
     {
-        goOn.countDown();
+        proceed.countDown();
         caller.close();
         loops.close();
         server.close();
         serverLoops.close();
     }
 
-    private ResultCode codeOf(String path)
+    private ResultCode failureCodeOf(String path)
     {
         return assertThrows(GaugehollowException.class,
                 () -> caller.call("POST", path, NO_BODY, TIMEOUT_MILLIS)).code();
     }
 
     @Test
-    void aCallUnderWayWhenTheEventLoopsCloseMayHaveBeenDone() throws InterruptedException
+    void aPendingCallHasAnUnknownOutcomeWhenTheEventLoopsClose() throws InterruptedException
     {
         Thread closing = Thread.ofVirtual().start(() ->
         {
@@ -89,30 +92,30 @@
                 Thread.currentThread().interrupt();
             }
         });
-        assertThat(codeOf("/held").outcome()).isEqualTo(Outcome.UNKNOWN);
+        assertThat(failureCodeOf("/held").outcome()).isEqualTo(Outcome.UNKNOWN);
         closing.join();
         assertThat(handled.get()).isEqualTo(1);
     }
 
     @Test
-    void aCallAfterTheEventLoopsClosedSendsNothing() throws InterruptedException
+    void aCallAfterTheEventLoopsCloseIsNotSent() throws InterruptedException
     {
         caller.call("POST", "/", NO_BODY, TIMEOUT_MILLIS);
         loops.close();
-        assertThat(codeOf("/")).isEqualTo(ResultCode.UPSTREAM_REFUSED);
+        assertThat(failureCodeOf("/")).isEqualTo(ResultCode.UPSTREAM_REFUSED);
         assertThat(handled.get()).isEqualTo(1);
     }
 
     @Test
-    void aCallOnAConnectionThatWasUsedBeforeMayHaveBeenDoneWhereItEnds() throws InterruptedException
+    void aCallHasAnUnknownOutcomeWhenAReusedConnectionIsLost() throws InterruptedException
     {
         caller.call("POST", "/", NO_BODY, TIMEOUT_MILLIS);
-        assertThat(codeOf("/cut")).isEqualTo(ResultCode.OUTCOME_UNKNOWN);
+        assertThat(failureCodeOf("/cut")).isEqualTo(ResultCode.OUTCOME_UNKNOWN);
         assertThat(handled.get()).isEqualTo(2);
     }
 
     @Test
-    void aCallOfAnInterruptedThreadEndsWithoutAnyPromise() throws InterruptedException
+    void interruptingTheThreadEndsTheCall() throws InterruptedException
     {
         AtomicInteger interrupted = new AtomicInteger();
         Thread calling = Thread.ofVirtual().start(() ->
--- a/gaugehollow/src/test/java/org/gaugehollow/net/HttpConnectionTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/net/HttpConnectionTest.java
@@ -23,29 +23,29 @@
 
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 
-/** What ends a wait for an answer. */
+/** Guards against waiting forever for a response and against giving up on a slow one. */
 class HttpConnectionTest
 {
-    private static final int LARGEST_ANSWER = 1_000;
+    private static final int MAX_RESPONSE_BYTES = 1_000;
     private static final int IDLE_MILLIS = 2_000;
-    private static final int WHOLE_MILLIS = 30_000;
-    private static final int END = -1;
-    private static final int PART_MILLIS = 300;
+    private static final int TOTAL_MILLIS = 30_000;
+    private static final int END_OF_STREAM = -1;
+    private static final int BYTE_INTERVAL_MILLIS = 300;
 
     @Test
-    void aWaitForAnAnswerEndsWhenThisSideClosesTheConnection() throws Exception
+    void closingTheConnectionEndsAPendingExchange() throws Exception
     {
         NetLoops loops = new NetLoops(Optional.empty());
-        try (ServerSocket silent = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
+        try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
                 HttpConnection connection = HttpConnection.open(loops,
-                        (InetSocketAddress) silent.getLocalSocketAddress(), 1_000))
+                        (InetSocketAddress) server.getLocalSocketAddress(), 1_000))
         {
-            CompletableFuture<String> ended = new CompletableFuture<>();
-            Thread.ofVirtual().start(() -> ended.complete(outcome(connection)));
+            CompletableFuture<String> outcome = new CompletableFuture<>();
+            Thread.ofVirtual().start(() -> outcome.complete(outcome(connection)));
             Thread.sleep(200);
-            assertThat(ended.isDone()).isFalse();
+            assertThat(outcome.isDone()).isFalse();
             connection.close();
-            assertThat(ended.get(1, TimeUnit.SECONDS)).isEqualTo("failed");
+            assertThat(outcome.get(1, TimeUnit.SECONDS)).isEqualTo("failed");
         }
         finally
         {
@@ -58,7 +58,8 @@
         HttpMessage request = new HttpMessage("GET", "/", "", new DefaultHttpHeaders(), new byte[0]);
         try
         {
-            connection.exchange(request, SteadyClock.nanos() + TimeUnit.SECONDS.toNanos(10), LARGEST_ANSWER);
+            connection.exchange(request, SteadyClock.nanos() + TimeUnit.SECONDS.toNanos(10),
+                    MAX_RESPONSE_BYTES);
             return "answered";
         }
         catch (GaugehollowException e)
@@ -72,28 +73,30 @@
         }
     }
 
-    /** A server that sends an answer a byte at a time, and stops after some of them. */
+    /**
+     * Starts a server that sends a response byte by byte and stalls after the given number of bytes.
+     */
     private static Thread sendSlowly(ServerSocket server, int bytes)
     {
         return Thread.ofVirtual().start(() ->
         {
             try (Socket socket = server.accept(); OutputStream out = socket.getOutputStream())
             {
-                // an answer before its request would end the connection
-                assertThat(socket.getInputStream().read()).isNotEqualTo(END);
+                // a response before the request would close the connection
+                assertThat(socket.getInputStream().read()).isNotEqualTo(END_OF_STREAM);
                 out.write(
                         "HTTP/1.1 200 OK\r\nContent-Length: 10\r\n\r\n".getBytes(StandardCharsets.US_ASCII));
                 for (int i = 0; i < bytes; i++)
                 {
-                    Thread.sleep(PART_MILLIS);
+                    Thread.sleep(BYTE_INTERVAL_MILLIS);
                     out.write('x');
                     out.flush();
                 }
-                Thread.sleep(WHOLE_MILLIS);
+                Thread.sleep(TOTAL_MILLIS);
             }
             catch (IOException e)
             {
-                // the test has ended the connection
+                // the test closed the connection
             }
             catch (InterruptedException e)
             {
@@ -102,7 +105,7 @@
         });
     }
 
-    private static String outcomeOfSlowAnswer(int bytes) throws Exception
+    private static String outcomeOfSlowResponse(int bytes) throws Exception
     {
         NetLoops loops = new NetLoops(Optional.empty());
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
@@ -113,7 +116,7 @@
             String outcome;
             try
             {
-                outcome = new String(caller.callWithIdleTimeout(request, IDLE_MILLIS, WHOLE_MILLIS).body(),
+                outcome = new String(caller.callWithIdleTimeout(request, IDLE_MILLIS, TOTAL_MILLIS).body(),
                         StandardCharsets.US_ASCII);
             }
             catch (GaugehollowException e)
@@ -130,16 +133,17 @@
     }
 
     @Test
-    void anAnswerThatKeepsArrivingIsAwaited() throws Exception
+    void aSlowResponseIsReadToTheEnd() throws Exception
     {
-        assertThat(outcomeOfSlowAnswer(10)).isEqualTo("xxxxxxxxxx");
+        assertThat(outcomeOfSlowResponse(10)).isEqualTo("xxxxxxxxxx");
     }
 
     @Test
-    void anAnswerThatStopsArrivingIsGivenUp() throws Exception
+    void aStalledResponseTimesOut() throws Exception
     {
-        long begun = SteadyClock.nanos();
-        assertThat(outcomeOfSlowAnswer(3)).isEqualTo("failed");
-        assertThat(SteadyClock.nanos() - begun).isLessThan(TimeUnit.MILLISECONDS.toNanos(WHOLE_MILLIS / 2));
+        long startNanos = SteadyClock.nanos();
+        assertThat(outcomeOfSlowResponse(3)).isEqualTo("failed");
+        assertThat(SteadyClock.nanos() - startNanos)
+                .isLessThan(TimeUnit.MILLISECONDS.toNanos(TOTAL_MILLIS / 2));
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/net/HttpServerTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/net/HttpServerTest.java
@@ -25,7 +25,7 @@
 import net.jqwik.api.lifecycle.AfterContainer;
 import net.jqwik.api.lifecycle.BeforeContainer;
 
-/** Whatever arrives on an HTTP port, it is answered or closed, and the port goes on. */
+/** Guards against input that stops the server or exposes internal details. */
 class HttpServerTest
 {
     private static final int SOCKET_MILLIS = 10_000;
@@ -56,14 +56,14 @@
         loops.close();
     }
 
-    private static String raw(byte[] bytes, boolean endsInput) throws IOException
+    private static String sendRaw(byte[] bytes, boolean shutdownOutput) throws IOException
     {
         try (Socket socket = new Socket())
         {
             socket.setSoTimeout(SOCKET_MILLIS);
             socket.connect(server.address());
             socket.getOutputStream().write(bytes);
-            if (endsInput)
+            if (shutdownOutput)
             {
                 socket.shutdownOutput();
             }
@@ -75,7 +75,7 @@
         }
     }
 
-    private static HttpReply get(String path) throws InterruptedException
+    private static HttpReply post(String path) throws InterruptedException
     {
         try (HttpCaller caller = new HttpCaller(loops, server.address()))
         {
@@ -85,23 +85,23 @@
     }
 
     @Test
-    void nonsenseGetsACodedAnswer() throws Exception
+    void malformedInputIsRejectedWithAResultCode() throws Exception
     {
-        assertThat(raw("this is not http\r\n\r\n".getBytes(StandardCharsets.US_ASCII), false))
+        assertThat(sendRaw("this is not http\r\n\r\n".getBytes(StandardCharsets.US_ASCII), false))
                 .contains("2001");
-        assertThat(get("/").status()).isEqualTo(200);
+        assertThat(post("/").status()).isEqualTo(200);
     }
 
     @Test
-    void aBodyOverTheLimitGetsACodedAnswer() throws Exception
+    void anOversizedBodyIsRejectedWithAResultCode() throws Exception
     {
         String head = "POST / HTTP/1.1\r\nHost: x\r\nContent-Length: 5000\r\n\r\n";
-        assertThat(raw((head + "y".repeat(5_000)).getBytes(StandardCharsets.US_ASCII), false))
+        assertThat(sendRaw((head + "y".repeat(5_000)).getBytes(StandardCharsets.US_ASCII), false))
                 .contains("2004");
     }
 
     @Test
-    void aCallerThatIsStillSendingABodyOverTheLimitGetsTheAnswer() throws Exception
+    void aClientStillSendingAnOversizedBodyReceivesTheRejection() throws Exception
     {
         try (Socket socket = new Socket())
         {
@@ -117,18 +117,18 @@
     }
 
     @Test
-    void aFaultInsideShowsNothingOfItselfToTheCaller() throws Exception
+    void internalErrorsDoNotExposeDetails() throws Exception
     {
-        HttpReply reply = get("/fault");
+        HttpReply reply = post("/fault");
         assertThat(reply.status()).isEqualTo(500);
         assertThat(new String(reply.body(), StandardCharsets.UTF_8)).contains("9001");
         assertThat(new String(reply.body(), StandardCharsets.UTF_8)).doesNotContain("secret");
     }
 
     @Property(tries = 150, seed = "7")
-    void anyBytesLeaveThePortServing(@ForAll byte[] bytes) throws Exception
+    void theServerKeepsServingAfterArbitraryInput(@ForAll byte[] bytes) throws Exception
     {
-        raw(bytes, true);
-        assertThat(get("/after").status()).isEqualTo(200);
+        sendRaw(bytes, true);
+        assertThat(post("/after").status()).isEqualTo(200);
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/platform/FakeStore.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/platform/FakeStore.java
@@ -16,83 +16,83 @@
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.ResultCode;
 
-/** A store in memory, with leases and watches, whose answers or writes get lost on demand. */
+/** In-memory store with leases and watches that can lose answers or writes on demand. */
 public class FakeStore implements PlatformStore
 {
-    /** Something that happens directly after a commit. */
-    public interface Interruption
+    /** Action that runs directly after a commit. */
+    public interface Hook
     {
         void run() throws InterruptedException;
     }
 
     private final TreeMap<String, StoredValue> keys = new TreeMap<>();
     private final Map<String, Long> leases = new HashMap<>();
-    private final Set<Long> endedLeases = new HashSet<>();
+    private final Set<Long> revokedLeases = new HashSet<>();
     private final List<StoreChange> history = new ArrayList<>();
     private long lastLease;
     private long revision = 1;
     private int answersToLose;
     private int writesToLose;
     private int writesToHold;
-    private int heldMillis;
-    private final List<StoreTransaction> onTheWay = new ArrayList<>();
+    private int heldTimeoutMillis;
+    private final List<StoreTransaction> heldWrites = new ArrayList<>();
     private int commits;
     private int largestTransaction;
     private boolean down;
     private boolean readsFail;
-    private boolean watchesSilent;
-    private Interruption afterCommit;
-    private String interruptedPrefix = "";
-    private String lastWritten;
-    private String refused;
+    private boolean watchesSuppressed;
+    private Hook commitHook;
+    private String hookPrefix = "";
+    private String downAfterPrefix;
+    private String rejectedPrefix;
 
-    /** @param count so many next commits take effect and then fail */
+    /** @param count number of following commits that are applied but fail */
     public void loseAnswers(int count)
     {
         answersToLose = count;
     }
 
-    /** @param count so many next commits fail without effect */
+    /** @param count number of following commits that fail without being applied */
     public void loseWrites(int count)
     {
         writesToLose = count;
     }
 
     /**
-     * Keeps writes on the way: who sent them gets no answer, and they arrive with
-     * {@link #deliverHeldWrites}.
+     * Holds back commits, which fail with an unknown outcome until {@link #deliverHeldWrites} applies
+     * them.
      *
-     * @param count so many next commits are held
-     * @param millis how long their senders wait for an answer
+     * @param count number of following commits to hold back
+     * @param millis time in milliseconds after which a held commit fails
      */
     public synchronized void holdWrites(int count, int millis)
     {
         writesToHold = count;
-        heldMillis = millis;
+        heldTimeoutMillis = millis;
     }
 
-    /** The writes that were held arrive, each under its condition. */
+    /** Applies the held writes whose conditions hold. */
     public synchronized void deliverHeldWrites() throws InterruptedException
     {
-        List<StoreTransaction> arriving = List.copyOf(onTheWay);
-        onTheWay.clear();
+        List<StoreTransaction> arriving = List.copyOf(heldWrites);
+        heldWrites.clear();
         for (StoreTransaction transaction : arriving)
         {
-            if (holds(transaction))
+            if (conditionsHold(transaction))
             {
                 apply(transaction.writes());
             }
         }
     }
 
-    /** @param value whether watches hear nothing though the store answers */
+    /** @param value whether watches report no changes although the store responds */
     public synchronized void silenceWatches(boolean value)
     {
-        watchesSilent = value;
+        watchesSuppressed = value;
         notifyAll();
     }
 
-    /** @param value whether reads fail though writes do not */
+    /** @param value whether reads fail while writes succeed */
     public synchronized void failReads(boolean value)
     {
         readsFail = value;
@@ -103,56 +103,58 @@
         down = value;
     }
 
-    /** @param prefix the store is down once a key that starts with it was written */
+    /** @param prefix the store goes down after a key with this prefix was written */
     public synchronized void goDownAfterWriting(String prefix)
     {
-        lastWritten = prefix;
+        downAfterPrefix = prefix;
     }
 
-    /** @param prefix commits that write a key that starts with it fail without effect; null for none */
+    /**
+     * @param prefix commits that write a key with this prefix fail without being applied; null for none
+     */
     public synchronized void loseWritesOf(String prefix)
     {
-        refused = prefix;
+        rejectedPrefix = prefix;
     }
 
-    public void afterNextCommit(Interruption interruption)
+    public void afterNextCommit(Hook hook)
     {
-        afterNextCommitOf("", interruption);
+        afterNextCommitOf("", hook);
     }
 
     /**
-     * @param prefix the start of a key
-     * @param interruption what happens directly after the next commit that writes such a key
+     * @param prefix the prefix of a key
+     * @param hook runs directly after the next commit that writes such a key
      */
-    public synchronized void afterNextCommitOf(String prefix, Interruption interruption)
+    public synchronized void afterNextCommitOf(String prefix, Hook hook)
     {
-        interruptedPrefix = prefix;
-        afterCommit = interruption;
+        hookPrefix = prefix;
+        commitHook = hook;
     }
 
-    /** @return how many conditions and writes the largest transaction held */
+    /** @return the number of conditions and writes of the largest transaction */
     public synchronized int largestTransaction()
     {
         return largestTransaction;
     }
 
-    /** @return how many commits took effect */
+    /** @return the number of applied commits */
     public int commits()
     {
         return commits;
     }
 
-    private void checkUp()
+    private void checkAvailable()
     {
         if (down)
         {
-            throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "down");
+            throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "the store is down");
         }
     }
 
     private void checkReadable()
     {
-        checkUp();
+        checkAvailable();
         if (readsFail)
         {
             throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "reads fail");
@@ -177,37 +179,39 @@
     @Override
     public Optional<Long> commit(StoreTransaction transaction) throws InterruptedException
     {
-        if (holdsBack(transaction))
+        if (holdWrite(transaction))
         {
-            Thread.sleep(heldMillis);
-            throw new GaugehollowException(ResultCode.STORE_OUTCOME_UNKNOWN, "no answer in time");
+            Thread.sleep(heldTimeoutMillis);
+            throw new GaugehollowException(ResultCode.STORE_OUTCOME_UNKNOWN,
+                    "timed out waiting for the answer");
         }
-        return commitNow(transaction);
+        return commitImmediately(transaction);
     }
 
-    private synchronized boolean holdsBack(StoreTransaction transaction)
+    private synchronized boolean holdWrite(StoreTransaction transaction)
     {
         if (writesToHold == 0)
         {
             return false;
         }
         writesToHold--;
-        onTheWay.add(transaction);
+        heldWrites.add(transaction);
         return true;
     }
 
-    private synchronized Optional<Long> commitNow(StoreTransaction transaction) throws InterruptedException
+    private synchronized Optional<Long> commitImmediately(StoreTransaction transaction)
+            throws InterruptedException
     {
-        checkUp();
+        checkAvailable();
         largestTransaction = Math.max(largestTransaction,
                 transaction.conditions().size() + transaction.writes().size());
-        if (writesToLose > 0 || isRefused(transaction))
+        if (writesToLose > 0 || isRejected(transaction))
         {
             writesToLose = Math.max(0, writesToLose - 1);
-            throw new GaugehollowException(ResultCode.STORE_OUTCOME_UNKNOWN, "lost on the way");
+            throw new GaugehollowException(ResultCode.STORE_OUTCOME_UNKNOWN, "the write was lost");
         }
-        boolean holds = holds(transaction);
-        if (holds)
+        boolean satisfied = conditionsHold(transaction);
+        if (satisfied)
         {
             apply(transaction.writes());
         }
@@ -216,18 +220,19 @@
             answersToLose--;
             throw new GaugehollowException(ResultCode.STORE_OUTCOME_UNKNOWN, "the answer was lost");
         }
-        return holds ? Optional.of(revision) : Optional.empty();
+        return satisfied ? Optional.of(revision) : Optional.empty();
     }
 
-    private boolean holds(StoreTransaction transaction)
+    private boolean conditionsHold(StoreTransaction transaction)
     {
         return transaction.conditions().stream().allMatch(
                 c -> (keys.containsKey(c.key()) ? keys.get(c.key()).modRevision() : 0) == c.modRevision());
     }
 
-    private boolean isRefused(StoreTransaction transaction)
+    private boolean isRejected(StoreTransaction transaction)
     {
-        return refused != null && transaction.writes().stream().anyMatch(w -> w.key().startsWith(refused));
+        return rejectedPrefix != null
+                && transaction.writes().stream().anyMatch(w -> w.key().startsWith(rejectedPrefix));
     }
 
     private void apply(List<StoreTransaction.Write> writes) throws InterruptedException
@@ -236,10 +241,10 @@
         commits++;
         for (StoreTransaction.Write write : writes)
         {
-            down |= lastWritten != null && write.key().startsWith(lastWritten);
-            boolean gone = write.value() == null;
-            history.add(new StoreChange(write.key(), write.value(), revision, gone));
-            if (gone)
+            down |= downAfterPrefix != null && write.key().startsWith(downAfterPrefix);
+            boolean deleted = write.value() == null;
+            history.add(new StoreChange(write.key(), write.value(), revision, deleted));
+            if (deleted)
             {
                 keys.remove(write.key());
             }
@@ -250,21 +255,21 @@
             }
         }
         notifyAll();
-        if (afterCommit != null && writes.stream().anyMatch(w -> w.key().startsWith(interruptedPrefix)))
+        if (commitHook != null && writes.stream().anyMatch(w -> w.key().startsWith(hookPrefix)))
         {
-            Interruption once = afterCommit;
-            int lose = answersToLose;
-            afterCommit = null;
+            Hook hook = commitHook;
+            int savedAnswersToLose = answersToLose;
+            commitHook = null;
             answersToLose = 0;
-            once.run();
-            answersToLose = lose;
+            hook.run();
+            answersToLose = savedAnswersToLose;
         }
     }
 
     @Override
     public synchronized long grantLease(int millis)
     {
-        checkUp();
+        checkAvailable();
         lastLease++;
         return lastLease;
     }
@@ -272,15 +277,15 @@
     @Override
     public synchronized boolean renewLease(long lease)
     {
-        checkUp();
-        return !endedLeases.contains(lease);
+        checkAvailable();
+        return !revokedLeases.contains(lease);
     }
 
     @Override
     public synchronized void revokeLease(long lease) throws InterruptedException
     {
-        checkUp();
-        endedLeases.add(lease);
+        checkAvailable();
+        revokedLeases.add(lease);
         List<StoreTransaction.Write> removals = new ArrayList<>();
         for (String key : keys.keySet())
         {
@@ -295,20 +300,20 @@
     @Override
     public StoreWatch watch(String prefix, long fromRevision)
     {
-        checkUp();
+        checkAvailable();
         return new FakeWatch(prefix, fromRevision);
     }
 
-    /** Reports the changes of the history, in order. */
+    /** Reports the recorded changes in order. */
     private final class FakeWatch implements StoreWatch
     {
         private final String prefix;
-        private long next;
+        private long nextRevision;
 
         FakeWatch(String prefix, long fromRevision)
         {
             this.prefix = prefix;
-            this.next = fromRevision;
+            this.nextRevision = fromRevision;
         }
 
         @Override
@@ -316,30 +321,30 @@
         {
             synchronized (FakeStore.this)
             {
-                checkUp();
+                checkAvailable();
                 List<StoreChange> found = changes();
                 if (found.isEmpty())
                 {
                     FakeStore.this.wait(timeoutMillis);
                     found = changes();
                 }
-                next = watchesSilent ? next : revision + 1;
+                nextRevision = watchesSuppressed ? nextRevision : revision + 1;
                 return found;
             }
         }
 
         private List<StoreChange> changes()
         {
-            return watchesSilent
+            return watchesSuppressed
                     ? List.of()
-                    : history.stream().filter(c -> c.revision() >= next && c.key().startsWith(prefix))
+                    : history.stream().filter(c -> c.revision() >= nextRevision && c.key().startsWith(prefix))
                             .toList();
         }
 
         @Override
         public void close()
         {
-            next = Long.MAX_VALUE;
+            nextRevision = Long.MAX_VALUE;
         }
     }
 
--- a/gaugehollow/src/test/java/org/gaugehollow/platform/HedgedCallTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/platform/HedgedCallTest.java
@@ -18,18 +18,18 @@
 import org.gaugehollow.time.SteadyClock;
 import org.junit.jupiter.api.Test;
 
-/** Calls whose first answer may be lost. */
+/** Guards against lost answers and against wrong outcomes of repeated writes. */
 class HedgedCallTest
 {
     @Test
-    void aCallWhoseFirstAnswerIsLostIsAnsweredByTheNext() throws InterruptedException
+    void theSecondAttemptAnswersWhenTheFirstAnswerIsLost() throws InterruptedException
     {
-        AtomicInteger tries = new AtomicInteger();
+        AtomicInteger attempts = new AtomicInteger();
         CountDownLatch never = new CountDownLatch(1);
-        long begun = SteadyClock.nanos();
+        long startNanos = SteadyClock.nanos();
         int answer = HedgedCall.read(() ->
         {
-            int number = tries.incrementAndGet();
+            int number = attempts.incrementAndGet();
             if (number == 1)
             {
                 never.await();
@@ -37,49 +37,48 @@
             return number;
         });
         assertThat(answer).isEqualTo(2);
-        assertThat(TimeUnit.NANOSECONDS.toMillis(SteadyClock.nanos() - begun)).isLessThan(700);
+        assertThat(TimeUnit.NANOSECONDS.toMillis(SteadyClock.nanos() - startNanos)).isLessThan(700);
     }
 
     @Test
-    void aCallThatIsAnsweredIsSentOnce() throws InterruptedException
+    void anAnsweredCallIsSentOnce() throws InterruptedException
     {
-        AtomicInteger tries = new AtomicInteger();
-        assertThat(HedgedCall.read(tries::incrementAndGet)).isEqualTo(1);
+        AtomicInteger attempts = new AtomicInteger();
+        assertThat(HedgedCall.read(attempts::incrementAndGet)).isEqualTo(1);
         Thread.sleep(400);
-        assertThat(tries.get()).isEqualTo(1);
+        assertThat(attempts.get()).isEqualTo(1);
     }
 
     @Test
-    void aRefusalIsToldAtOnce()
+    void aRejectedReadFailsImmediately()
     {
-        GaugehollowException refusal = assertThrows(GaugehollowException.class, () -> HedgedCall.read(() ->
+        GaugehollowException rejection = assertThrows(GaugehollowException.class, () -> HedgedCall.read(() ->
         {
-            throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "no");
+            throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "rejected");
         }));
-        assertThat(refusal.code()).isEqualTo(ResultCode.STORE_UNAVAILABLE);
+        assertThat(rejection.code()).isEqualTo(ResultCode.STORE_UNAVAILABLE);
     }
 
-    /** Else whoever writes, such as an owner's journal, would wait for ever. */
     @Test
-    void aWriteOfWhichEveryTryEndsWithAnErrorEnds()
+    void aWriteFailsWhenEveryAttemptThrowsAnError()
     {
-        Throwable end = assertTimeoutPreemptively(Duration.ofSeconds(5),
+        Throwable failure = assertTimeoutPreemptively(Duration.ofSeconds(5),
                 () -> assertThrows(Throwable.class, () -> HedgedCall.write(() ->
                 {
-                    throw new OutOfMemoryError("no room");
+                    throw new OutOfMemoryError("no memory");
                 })));
-        assertThat(end).isNotNull();
+        assertThat(failure).isNotNull();
     }
 
     @Test
-    void theAnswerOfAWriteUnderWayCountsThoughALaterTryIsTurnedAway() throws InterruptedException
+    void aPendingWriteSucceedsAfterALaterAttemptIsRejected() throws InterruptedException
     {
-        AtomicInteger tries = new AtomicInteger();
+        AtomicInteger attempts = new AtomicInteger();
         String answer = HedgedCall.write(() ->
         {
-            if (tries.incrementAndGet() > 1)
+            if (attempts.incrementAndGet() > 1)
             {
-                throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "turned away");
+                throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "rejected");
             }
             Thread.sleep(600);
             return "done";
@@ -88,35 +87,35 @@
     }
 
     @Test
-    void aWriteIsRefusedOnlyOnceEveryTrySurelyChangedNothing()
+    void aWriteIsRejectedOnlyAfterEveryAttemptIsRejected()
     {
-        AtomicInteger tries = new AtomicInteger();
-        long begun = SteadyClock.nanos();
-        GaugehollowException refusal = assertThrows(GaugehollowException.class, () -> HedgedCall.write(() ->
+        AtomicInteger attempts = new AtomicInteger();
+        long startNanos = SteadyClock.nanos();
+        GaugehollowException rejection = assertThrows(GaugehollowException.class, () -> HedgedCall.write(() ->
         {
-            if (tries.incrementAndGet() == 1)
+            if (attempts.incrementAndGet() == 1)
             {
                 Thread.sleep(600);
             }
-            throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "turned away");
+            throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "rejected");
         }));
-        assertThat(refusal.code()).isEqualTo(ResultCode.STORE_UNAVAILABLE);
-        assertThat(TimeUnit.NANOSECONDS.toMillis(SteadyClock.nanos() - begun)).isAtLeast(600);
+        assertThat(rejection.code()).isEqualTo(ResultCode.STORE_UNAVAILABLE);
+        assertThat(TimeUnit.NANOSECONDS.toMillis(SteadyClock.nanos() - startNanos)).isAtLeast(600);
     }
 
     @Test
-    void aWriteWhoseFirstTryIsLostIsToldAsUnknownThoughTheOthersAreTurnedAway()
+    void aWriteWithALostAttemptHasAnUnknownOutcome()
     {
-        AtomicInteger tries = new AtomicInteger();
-        GaugehollowException refusal = assertThrows(GaugehollowException.class, () -> HedgedCall.write(() ->
+        AtomicInteger attempts = new AtomicInteger();
+        GaugehollowException rejection = assertThrows(GaugehollowException.class, () -> HedgedCall.write(() ->
         {
-            if (tries.incrementAndGet() == 1)
+            if (attempts.incrementAndGet() == 1)
             {
                 Thread.sleep(600);
                 throw new GaugehollowException(ResultCode.STORE_OUTCOME_UNKNOWN, "no answer");
             }
-            throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "turned away");
+            throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "rejected");
         }));
-        assertThat(refusal.code()).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
+        assertThat(rejection.code()).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/platform/MonitoredStoreTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/platform/MonitoredStoreTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** When a store counts as silent. */
+/** Guards against wrong detection of store outages and against watches that miss changes. */
 class MonitoredStoreTest
 {
     private final AtomicLong clock = new AtomicLong();
@@ -28,7 +28,7 @@
     private final MonitoredStore monitored = new MonitoredStore(store,
             new EventLog("test", new HybridClock(System::currentTimeMillis)), clock::get);
 
-    /** A store whose calls fail or hang where told to. */
+    /** A store whose calls fail or hang on demand. */
     private static final class HangingStore extends FakeStore
     {
         private final CountDownLatch released = new CountDownLatch(1);
@@ -44,7 +44,7 @@
             }
             if (fails)
             {
-                throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "no");
+                throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "rejected");
             }
             return super.list(prefix);
         }
@@ -68,12 +68,12 @@
         store.released.countDown();
     }
 
-    private void pass(long millis)
+    private void advanceClock(long millis)
     {
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(millis));
     }
 
-    private void listAside() throws InterruptedException
+    private void listInBackground() throws InterruptedException
     {
         CountDownLatch sent = new CountDownLatch(1);
         Thread caller = Thread.ofVirtual().start(() ->
@@ -96,49 +96,49 @@
     }
 
     @Test
-    void callsThatHaveNoAnswerForAWhileShowASilentStoreBeforeTheyFail() throws InterruptedException
+    void unansweredCallsMakeTheStoreUnresponsiveBeforeTheyFail() throws InterruptedException
     {
         monitored.list("");
         store.hangs = true;
-        listAside();
-        pass(550);
+        listInBackground();
+        advanceClock(550);
         assertThat(monitored.isUnresponsive()).isFalse();
-        pass(100);
+        advanceClock(100);
         assertThat(monitored.isUnresponsive()).isTrue();
         assertThat(monitored.isStable()).isFalse();
     }
 
     @Test
-    void aCallThatIsSlowWhileOthersAreAnsweredShowsNothing() throws InterruptedException
+    void oneSlowCallDoesNotMakeTheStoreUnresponsive() throws InterruptedException
     {
         store.hangs = true;
-        listAside();
+        listInBackground();
         store.hangs = false;
         for (int i = 0; i < 10; i++)
         {
-            pass(400);
+            advanceClock(400);
             monitored.list("");
         }
         assertThat(monitored.isUnresponsive()).isFalse();
     }
 
     @Test
-    void aPauseWithoutCallsShowsNothing() throws InterruptedException
+    void aPauseWithoutCallsDoesNotMakeTheStoreUnresponsive() throws InterruptedException
     {
         monitored.list("");
-        pass(5_000);
+        advanceClock(5_000);
         assertThat(monitored.isUnresponsive()).isFalse();
         monitored.list("");
         assertThat(monitored.isUnresponsive()).isFalse();
     }
 
     @Test
-    void theNextAnswerEndsTheSilence() throws InterruptedException
+    void theNextAnswerEndsTheOutage() throws InterruptedException
     {
         store.fails = true;
         for (int i = 0; i < 2; i++)
         {
-            pass(300);
+            advanceClock(300);
             try
             {
                 monitored.list("");
@@ -155,31 +155,31 @@
     }
 
     @Test
-    void watchesThatWereOpenInASilenceEndWithIt() throws InterruptedException
+    void watchesOpenDuringAnOutageAreClosedAfterIt() throws InterruptedException
     {
-        WatchCloses closes = new WatchCloses();
-        MonitoredStore watched = new MonitoredStore(closes,
+        CloseCountingStore countingStore = new CloseCountingStore();
+        MonitoredStore monitoredCountingStore = new MonitoredStore(countingStore,
                 new EventLog("test", new HybridClock(System::currentTimeMillis)), clock::get);
-        try (StoreWatch watch = watched.watch("jobs/", 1))
+        try (StoreWatch watch = monitoredCountingStore.watch("jobs/", 1))
         {
-            closes.fails = true;
+            countingStore.fails = true;
             for (int i = 0; i < 2; i++)
             {
-                pass(300);
-                assertThrows(GaugehollowException.class, () -> watched.list(""));
+                advanceClock(300);
+                assertThrows(GaugehollowException.class, () -> monitoredCountingStore.list(""));
             }
-            assertThat(closes.closed.get()).isEqualTo(0);
-            closes.fails = false;
-            watched.list("");
-            assertThat(closes.closed.get()).isEqualTo(1);
-            watched.list("");
-            assertThat(closes.closed.get()).isEqualTo(1);
+            assertThat(countingStore.closed.get()).isEqualTo(0);
+            countingStore.fails = false;
+            monitoredCountingStore.list("");
+            assertThat(countingStore.closed.get()).isEqualTo(1);
+            monitoredCountingStore.list("");
+            assertThat(countingStore.closed.get()).isEqualTo(1);
             assertThat(watch).isNotNull();
         }
     }
 
-    /** A store that counts the watches that were closed. */
-    private static final class WatchCloses extends FakeStore
+    /** A store that counts closed watches and fails on demand. */
+    private static final class CloseCountingStore extends FakeStore
     {
         private final AtomicInteger closed = new AtomicInteger();
         private volatile boolean fails;
@@ -189,7 +189,7 @@
         {
             if (fails)
             {
-                throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "no");
+                throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "rejected");
             }
             return super.list(prefix);
         }
