--- a/gaugehollow/src/main/java/org/gaugehollow/box/BoxRegistry.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/BoxRegistry.java
@@ -32,18 +32,18 @@
 final class BoxRegistry implements SupervisedTask, KeyFollower.Listener, OwnerElection.Ranking
 {
     private static final int LEASE_MILLIS = 3_000;
-    private static final int RENEW_MILLIS = 1_000;
-    private static final int RETRY_MILLIS = 200;
-    private static final double CLEARLY_MORE = 1.3;
-    private static final long SETTLED_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final int RENEW_INTERVAL_MILLIS = 1_000;
+    private static final int RETRY_DELAY_MILLIS = 200;
+    private static final double OUTRANKING_RATIO = 1.3;
+    private static final long MIN_REGISTERED_NANOS = TimeUnit.SECONDS.toNanos(1);
 
     private static final long NOT_REGISTERED = Long.MAX_VALUE;
 
     private final String box;
-    private final Entry self;
+    private final Entry ownEntry;
     private final PlatformStore store;
     private final PeerDirectory directory;
-    private final AdviceDispatcher lines;
+    private final AdviceDispatcher adviceDispatcher;
     private final EventLog events;
     private final Map<String, Registration> registrations = new ConcurrentHashMap<>();
     private volatile long ownRevision = NOT_REGISTERED;
@@ -69,14 +69,14 @@
         }
     }
 
-    BoxRegistry(String box, Entry self, PlatformStore store, PeerDirectory directory, AdviceDispatcher lines,
-            EventLog events)
+    BoxRegistry(String box, Entry ownEntry, PlatformStore store, PeerDirectory directory,
+            AdviceDispatcher adviceDispatcher, EventLog events)
     {
         this.box = box;
-        this.self = self;
+        this.ownEntry = ownEntry;
         this.store = store;
         this.directory = directory;
-        this.lines = lines;
+        this.adviceDispatcher = adviceDispatcher;
         this.events = events;
     }
 
@@ -88,12 +88,12 @@
             try
             {
                 long lease = store.grantLease(LEASE_MILLIS);
-                store.commit(new StoreTransaction().put(JobKeys.BOXES + box, Json.write(self), lease));
+                store.commit(new StoreTransaction().put(JobKeys.BOXES + box, Json.write(ownEntry), lease));
                 renew(lease);
             }
             catch (GaugehollowException e)
             {
-                Thread.sleep(RETRY_MILLIS);
+                Thread.sleep(RETRY_DELAY_MILLIS);
             }
         }
     }
@@ -102,7 +102,7 @@
     {
         while (store.renewLease(lease))
         {
-            Thread.sleep(RENEW_MILLIS);
+            Thread.sleep(RENEW_INTERVAL_MILLIS);
         }
         events.record(EventType.LEASE_LOST, box, "registration");
     }
@@ -129,50 +129,50 @@
             ownRevision = Math.min(ownRevision, revision);
             return;
         }
-        if (address.equals(self.address()))
+        if (address.equals(ownEntry.address()))
         {
             return;
         }
-        if (!registrations.containsKey(peer) && !isEarlierLife(address, revision))
+        if (!registrations.containsKey(peer) && !isOldIncarnation(address, revision))
         {
-            dropEarlierLives(address);
+            removeOldIncarnations(address);
             registrations.put(peer, new Registration(entry, revision, SteadyClock.nanos()));
             events.record(EventType.PEER_CONNECTED, peer, "registered at " + address);
-            lines.add(peer, new PeerAdvice(directory.link(address)));
+            adviceDispatcher.add(peer, new PeerAdvice(directory.link(address)));
         }
     }
 
     /**
      * Whether a later life of the box is known; the registration of one that died lapses only later.
      */
-    private boolean isEarlierLife(String address, long revision)
+    private boolean isOldIncarnation(String address, long revision)
     {
-        return registrations.values().stream()
-                .anyMatch(known -> known.address().equals(address) && known.revision() > revision);
+        return registrations.values().stream().anyMatch(
+                registration -> registration.address().equals(address) && registration.revision() > revision);
     }
 
     /**
      * A box that starts again has a new id at the same address; the link to its life before is of no
      * use.
      */
-    private void dropEarlierLives(String address)
+    private void removeOldIncarnations(String address)
     {
         for (Map.Entry<String, Registration> entry : registrations.entrySet())
         {
             if (entry.getValue().address().equals(address))
             {
-                drop(entry.getKey(), "another life registered at " + address);
+                removePeer(entry.getKey(), "another life registered at " + address);
             }
         }
     }
 
-    private void drop(String peer, String why)
+    private void removePeer(String peer, String reason)
     {
         Registration registration = registrations.remove(peer);
         if (registration != null)
         {
-            events.record(EventType.PEER_LOST, peer, why);
-            lines.remove(peer);
+            events.record(EventType.PEER_LOST, peer, reason);
+            adviceDispatcher.remove(peer);
             directory.drop(registration.address());
         }
     }
@@ -181,7 +181,7 @@
     public void onRemoved(String key, long revision)
     {
         String peer = key.substring(JobKeys.BOXES.length());
-        drop(peer, "no longer registered at revision " + revision);
+        removePeer(peer, "no longer registered at revision " + revision);
     }
 
     /** The ids of the other registered boxes. */
@@ -198,8 +198,8 @@
     @Override
     public boolean isOutranked(String except)
     {
-        return isAnySettled(except,
-                known -> known.entry().processorMillis() > self.processorMillis() * CLEARLY_MORE);
+        return isAnyEstablished(except, registration -> registration.entry()
+                .processorMillis() > ownEntry.processorMillis() * OUTRANKING_RATIO);
     }
 
     /**
@@ -211,15 +211,16 @@
     @Override
     public boolean isLongerRunning(String except)
     {
-        return isAnySettled(except, known -> known.revision() > ownRevision
-                && known.entry().processorMillis() * CLEARLY_MORE >= self.processorMillis());
+        return isAnyEstablished(except, registration -> registration.revision() > ownRevision
+                && registration.entry().processorMillis() * OUTRANKING_RATIO >= ownEntry.processorMillis());
     }
 
-    private boolean isAnySettled(String except, Predicate<Registration> condition)
+    private boolean isAnyEstablished(String except, Predicate<Registration> condition)
     {
         long now = SteadyClock.nanos();
         return registrations.entrySet().stream().filter(peer -> !peer.getKey().equals(except))
-                .map(Map.Entry::getValue).filter(known -> now - known.knownNanos() > SETTLED_NANOS)
+                .map(Map.Entry::getValue)
+                .filter(registration -> now - registration.knownNanos() > MIN_REGISTERED_NANOS)
                 .anyMatch(condition);
     }
 
@@ -245,8 +246,8 @@
     Map<String, CallerRelay.Peer> relayPeers()
     {
         Map<String, CallerRelay.Peer> peers = new HashMap<>();
-        registrations
-                .forEach((peer, known) -> peers.put(peer, new RelayPeer(directory.link(known.address()))));
+        registrations.forEach((peer, registration) -> peers.put(peer,
+                new PeerRelay(directory.link(registration.address()))));
         return peers;
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/box/CallerRelay.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/CallerRelay.java
@@ -32,8 +32,8 @@
 final class CallerRelay implements HttpHandler
 {
     /** How long a peer that did not help is left out. */
-    private static final long PAUSE_NANOS = TimeUnit.SECONDS.toNanos(1);
-    private static final int MOST_PEERS = 2;
+    private static final long PEER_BACKOFF_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final int MAX_PEERS = 2;
 
     /** One way to a peer. */
     @FunctionalInterface
@@ -60,22 +60,22 @@
         Map<String, Peer> find() throws InterruptedException;
     }
 
-    private final CallerService own;
-    private final PeerFinder peers;
+    private final CallerService localService;
+    private final PeerFinder peerFinder;
     private final EventLog events;
     private final LongSupplier nanoTime;
-    private final Map<String, Long> pausedSince = new ConcurrentHashMap<>();
+    private final Map<String, Long> backoffStarts = new ConcurrentHashMap<>();
 
     /**
-     * @param own this box's service
-     * @param peers finds the boxes to ask
+     * @param localService this box's service
+     * @param peerFinder finds the boxes to ask
      * @param events where each relayed request is recorded
      * @param nanoTime a monotonic clock
      */
-    CallerRelay(CallerService own, PeerFinder peers, EventLog events, LongSupplier nanoTime)
+    CallerRelay(CallerService localService, PeerFinder peerFinder, EventLog events, LongSupplier nanoTime)
     {
-        this.own = own;
-        this.peers = peers;
+        this.localService = localService;
+        this.peerFinder = peerFinder;
         this.events = events;
         this.nanoTime = nanoTime;
     }
@@ -89,8 +89,8 @@
         }
         catch (GaugehollowException e)
         {
-            recordRefusal(exchange.request(), e);
-            if (!mayHelpElsewhere(e.code()))
+            recordFailure(exchange.request(), e);
+            if (!canPeerHelp(e.code()))
             {
                 throw e;
             }
@@ -99,7 +99,7 @@
     }
 
     /** Recorded before the answer is sent: a box may die directly after that. */
-    private void recordRefusal(HttpMessage request, GaugehollowException e)
+    private void recordFailure(HttpMessage request, GaugehollowException e)
     {
         events.record(EventType.CALL_REFUSED, request.path(), request.method() + ' ' + e.code().httpStatus()
                 + ' ' + e.code() + ", " + e.code().outcome().label() + ": " + e.getMessage());
@@ -110,45 +110,46 @@
     {
         try
         {
-            return own.answer(request);
+            return localService.answer(request);
         }
         catch (GaugehollowException e)
         {
-            if (!mayHelpElsewhere(e.code()))
+            if (!canPeerHelp(e.code()))
             {
                 throw e;
             }
-            return overPeers(request, e);
+            return relayToPeers(request, e);
         }
     }
 
-    private HttpReply overPeers(HttpMessage request, GaugehollowException refusal) throws InterruptedException
+    private HttpReply relayToPeers(HttpMessage request, GaugehollowException localFailure)
+            throws InterruptedException
     {
-        TryOutcomes tries = new TryOutcomes();
-        tries.add(refusal);
-        for (Map.Entry<String, Peer> peer : peersToAsk(request))
+        TryOutcomes attempts = new TryOutcomes();
+        attempts.add(localFailure);
+        for (Map.Entry<String, Peer> peer : selectPeers(request))
         {
             try
             {
                 HttpReply reply = peer.getValue().answer(request);
-                record(request, peer.getKey(), String.valueOf(reply.status()));
+                recordRelay(request, peer.getKey(), String.valueOf(reply.status()));
                 return reply;
             }
             catch (GaugehollowException e)
             {
-                record(request, peer.getKey(), e.code() + ": " + e.getMessage());
-                tries.add(asStoreTrouble(e));
-                if (!mayHelpElsewhere(e.code()))
+                recordRelay(request, peer.getKey(), e.code() + ": " + e.getMessage());
+                attempts.add(asStoreFailure(e));
+                if (!canPeerHelp(e.code()))
                 {
                     break;
                 }
-                pausedSince.put(peer.getKey(), nanoTime.getAsLong());
+                backoffStarts.put(peer.getKey(), nanoTime.getAsLong());
             }
         }
-        throw tries.failure();
+        throw attempts.failure();
     }
 
-    private void record(HttpMessage request, String peer, String outcome)
+    private void recordRelay(HttpMessage request, String peer, String outcome)
     {
         events.record(EventType.CALL_RELAYED, request.path(), "over " + peer + ": " + outcome);
     }
@@ -158,32 +159,32 @@
     {
         try
         {
-            return peers.find();
+            return peerFinder.find();
         }
         catch (GaugehollowException e)
         {
-            record(request, "nobody", e.code() + ": " + e.getMessage());
+            recordRelay(request, "nobody", e.code() + ": " + e.getMessage());
             return Map.of();
         }
     }
 
-    private List<Map.Entry<String, Peer>> peersToAsk(HttpMessage request) throws InterruptedException
+    private List<Map.Entry<String, Peer>> selectPeers(HttpMessage request) throws InterruptedException
     {
-        Map<String, Peer> known = findPeers(request);
-        pausedSince.values().removeIf(since -> nanoTime.getAsLong() - since > PAUSE_NANOS);
-        List<Map.Entry<String, Peer>> usable = new ArrayList<>();
-        for (Map.Entry<String, Peer> peer : known.entrySet())
+        Map<String, Peer> found = findPeers(request);
+        backoffStarts.values().removeIf(start -> nanoTime.getAsLong() - start > PEER_BACKOFF_NANOS);
+        List<Map.Entry<String, Peer>> candidates = new ArrayList<>();
+        for (Map.Entry<String, Peer> peer : found.entrySet())
         {
-            if (!pausedSince.containsKey(peer.getKey()))
+            if (!backoffStarts.containsKey(peer.getKey()))
             {
-                usable.add(peer);
+                candidates.add(peer);
             }
         }
-        Collections.shuffle(usable);
-        return usable.subList(0, Math.min(MOST_PEERS, usable.size()));
+        Collections.shuffle(candidates);
+        return candidates.subList(0, Math.min(MAX_PEERS, candidates.size()));
     }
 
-    private static boolean mayHelpElsewhere(ResultCode code)
+    private static boolean canPeerHelp(ResultCode code)
     {
         return switch (code)
         {
@@ -195,9 +196,9 @@
     }
 
     /** That a peer could not help either is told as trouble with the store. */
-    private static GaugehollowException asStoreTrouble(GaugehollowException e)
+    private static GaugehollowException asStoreFailure(GaugehollowException e)
     {
-        boolean surelyNotRun = mayHelpElsewhere(e.code()) && e.code().outcome() == Outcome.NOT_RUN;
-        return surelyNotRun ? new GaugehollowException(ResultCode.STORE_UNAVAILABLE, e.getMessage(), e) : e;
+        boolean notRun = canPeerHelp(e.code()) && e.code().outcome() == Outcome.NOT_RUN;
+        return notRun ? new GaugehollowException(ResultCode.STORE_UNAVAILABLE, e.getMessage(), e) : e;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/ConfigProbe.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/ConfigProbe.java
@@ -20,31 +20,31 @@
  */
 final class ConfigProbe implements SupervisedTask, BooleanSupplier
 {
-    private static final int PERIOD_MILLIS = 200;
+    private static final int INTERVAL_MILLIS = 200;
 
     private final MonitoredStore store;
     private final String key;
-    private final KeyFollower.Listener config;
+    private final KeyFollower.Listener listener;
     /** The last silence after whose begin the configuration was read. */
-    private long readSilence;
+    private long lastReadOutage;
 
     /**
      * @param store the store
      * @param key where the configuration lies
-     * @param config takes what is read
+     * @param listener takes what is read
      */
-    ConfigProbe(MonitoredStore store, String key, KeyFollower.Listener config)
+    ConfigProbe(MonitoredStore store, String key, KeyFollower.Listener listener)
     {
         this.store = store;
         this.key = key;
-        this.config = config;
+        this.listener = listener;
     }
 
     /** Whether the configuration may have changed without this box knowing of it. */
     @Override
     public boolean getAsBoolean()
     {
-        return store.isUnresponsive() || store.outageCount() > readSilence();
+        return store.isUnresponsive() || store.outageCount() > lastReadOutage();
     }
 
     @Override
@@ -56,18 +56,18 @@
             {
                 Thread.ofVirtual().name("config-probe").start(this::read);
             }
-            Thread.sleep(PERIOD_MILLIS);
+            Thread.sleep(INTERVAL_MILLIS);
         }
     }
 
     /** Reads the configuration once. */
     void read()
     {
-        long silence = store.outageCount();
+        long outage = store.outageCount();
         try
         {
-            store.get(key).ifPresent(value -> config.onPut(key, value.value(), value.modRevision()));
-            noteRead(silence);
+            store.get(key).ifPresent(value -> listener.onPut(key, value.value(), value.modRevision()));
+            recordRead(outage);
         }
         catch (GaugehollowException e)
         {
@@ -79,13 +79,13 @@
         }
     }
 
-    private synchronized long readSilence()
+    private synchronized long lastReadOutage()
     {
-        return readSilence;
+        return lastReadOutage;
     }
 
-    private synchronized void noteRead(long silence)
+    private synchronized void recordRead(long outage)
     {
-        readSilence = Math.max(readSilence, silence);
+        lastReadOutage = Math.max(lastReadOutage, outage);
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/FreshConfigService.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/FreshConfigService.java
@@ -19,22 +19,22 @@
 final class FreshConfigService implements CallerService
 {
     private final CallerService service;
-    private final BooleanSupplier mayBeOld;
+    private final BooleanSupplier mayBeStale;
 
     /**
      * @param service decides by this box's configuration
-     * @param mayBeOld whether the configuration may have changed without this box knowing of it
+     * @param mayBeStale whether the configuration may have changed without this box knowing of it
      */
-    FreshConfigService(CallerService service, BooleanSupplier mayBeOld)
+    FreshConfigService(CallerService service, BooleanSupplier mayBeStale)
     {
         this.service = service;
-        this.mayBeOld = mayBeOld;
+        this.mayBeStale = mayBeStale;
     }
 
     @Override
     public HttpReply answer(HttpMessage request) throws InterruptedException
     {
-        if (mayBeOld.getAsBoolean())
+        if (mayBeStale.getAsBoolean())
         {
             throw new GaugehollowException(ResultCode.CONFIG_MAY_BE_OLD,
                     "the store does not answer this box, or has only just begun to");
--- a/gaugehollow/src/main/java/org/gaugehollow/box/JobBox.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/JobBox.java
@@ -46,14 +46,14 @@
  */
 public final class JobBox implements AutoCloseable
 {
-    private static final int SUFFIX_LENGTH = 6;
-    private static final int LARGEST_BODY = 1 << 20;
-    private static final int OK = 200;
-    private static final int UNAVAILABLE = 503;
-    private static final long BALANCER_MILLIS = 2_600;
-    private static final long STEP_MILLIS = 20;
-    private static final long MILLIS = 1_000;
-    private static final long LAST_MARGIN_MILLIS = 400;
+    private static final int ID_SUFFIX_LENGTH = 6;
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    private static final int HTTP_OK = 200;
+    private static final int HTTP_UNAVAILABLE = 503;
+    private static final long DEREGISTRATION_MILLIS = 2_600;
+    private static final long DRAIN_POLL_MILLIS = 20;
+    private static final long MILLIS_PER_SECOND = 1_000;
+    private static final long DRAIN_MARGIN_MILLIS = 400;
     private static final double ACCELERATOR_RESERVE = 0.5;
     private static final WorkerScore SCORE = new WaitingFirstScore(ACCELERATOR_RESERVE);
 
@@ -64,13 +64,13 @@
     private final NetLoops loops;
     private final CellPlatform platform;
     private final MonitoredStore store;
-    private final Supervisor root;
+    private final Supervisor supervisor;
     private final CellConfigCache config;
     private final ConfigProbe configProbe;
     private final BoxRegistry registry;
-    private final OwnerMonitor monitor;
+    private final OwnerMonitor ownerMonitor;
     private final OwnerElection election;
-    private final PeerDirectory directory;
+    private final PeerDirectory peerDirectory;
     private final PeerServer peerServer;
     private final HttpServer callerServer;
     private final HttpServer readinessServer;
@@ -110,61 +110,61 @@
     public JobBox(JobBoxSettings settings, Function<Parts, CellPlatform> openPlatform, CallerPort callerPort)
     {
         this.settings = settings;
-        this.id = settings.box() + '~' + UUID.randomUUID().toString().substring(0, SUFFIX_LENGTH);
+        this.id = settings.box() + '~' + UUID.randomUUID().toString().substring(0, ID_SUFFIX_LENGTH);
         this.events = new EventLog(id, new HybridClock(System::currentTimeMillis), Optional.of(metrics));
-        InetAddress source = NetAddress.parse(settings.callerAddress()).getAddress();
-        this.loops = new NetLoops(Optional.of(source));
-        CellPlatform opened = openPlatform.apply(new Parts(loops, events, metrics));
-        this.store = new MonitoredStore(opened.store(), events, SteadyClock::nanos);
-        this.platform = new MonitoredPlatform(opened, store);
-        this.root = new Supervisor(id, events);
+        InetAddress sourceAddress = NetAddress.parse(settings.callerAddress()).getAddress();
+        this.loops = new NetLoops(Optional.of(sourceAddress));
+        CellPlatform openedPlatform = openPlatform.apply(new Parts(loops, events, metrics));
+        this.store = new MonitoredStore(openedPlatform.store(), events, SteadyClock::nanos);
+        this.platform = new MonitoredPlatform(openedPlatform, store);
+        this.supervisor = new Supervisor(id, events);
         this.config = new CellConfigCache(platform, events);
         this.configProbe = new ConfigProbe(store, platform.configKey(), config);
-        this.directory = new PeerDirectory(loops, events, metrics);
-        AdviceDispatcher lines = new AdviceDispatcher(platform.advice(), events);
+        this.peerDirectory = new PeerDirectory(loops, events, metrics);
+        AdviceDispatcher adviceDispatcher = new AdviceDispatcher(platform.advice(), events);
         this.registry = new BoxRegistry(id,
-                new BoxRegistry.Entry(settings.peerAddress(), settings.processorMillis()), store, directory,
-                lines, events);
-        this.monitor = new OwnerMonitor(new PeerOwnerProbe(registry), store::isStable, registry::isOutranked,
-                SteadyClock::nanos);
-        this.election = new OwnerElection(id, platform, config, monitor, registry, lines, SCORE,
-                root.child("owner"), settings.statusSeconds(), events);
+                new BoxRegistry.Entry(settings.peerAddress(), settings.processorMillis()), store,
+                peerDirectory, adviceDispatcher, events);
+        this.ownerMonitor = new OwnerMonitor(new PeerOwnerProbe(registry), store::isStable,
+                registry::isOutranked, SteadyClock::nanos);
+        this.election = new OwnerElection(id, platform, config, ownerMonitor, registry, adviceDispatcher,
+                SCORE, supervisor.child("owner"), settings.statusSeconds(), events);
         JobIntake intake = new JobIntake(store, new PeerJobNotice(registry, election), events, metrics);
         CallerService service = new FreshConfigService(callerPort.open(config, intake), configProbe);
         this.peerServer = new PeerServer(loops, NetAddress.parse(settings.peerAddress()), events,
-                call -> answerPeer(call, service));
-        StoreHelpers helpers = new StoreHelpers(registry::peers, new PeerStoreQuestion(registry),
+                call -> handlePeerCall(call, service));
+        StorePeerFinder storePeers = new StorePeerFinder(registry::peers, new PeerStoreProbe(registry),
                 SteadyClock::nanos);
-        this.callerServer = serve(settings.callerAddress(), new CallerRelay(service,
-                () -> helpers.among(registry.relayPeers()), events, SteadyClock::nanos));
-        this.readinessServer = serve(settings.readinessAddress(), this::answerReadiness);
-        this.metricsServer = serve(settings.metricsAddress(), this::answerMetrics);
-        addGauges();
+        this.callerServer = startServer(settings.callerAddress(), new CallerRelay(service,
+                () -> storePeers.filter(registry.relayPeers()), events, SteadyClock::nanos));
+        this.readinessServer = startServer(settings.readinessAddress(), this::handleReadiness);
+        this.metricsServer = startServer(settings.metricsAddress(), this::handleMetrics);
+        registerGauges();
         startTasks();
         events.record(EventType.PROCESS_STARTED, id,
                 "callers " + settings.callerAddress() + ", peers " + settings.peerAddress());
     }
 
-    private HttpServer serve(String address, HttpHandler handler)
+    private HttpServer startServer(String address, HttpHandler handler)
     {
-        return new HttpServer(loops, NetAddress.parse(address), LARGEST_BODY, events, handler);
+        return new HttpServer(loops, NetAddress.parse(address), MAX_BODY_BYTES, events, handler);
     }
 
-    private Frame.Builder answerPeer(Frame call, CallerService service) throws InterruptedException
+    private Frame.Builder handlePeerCall(Frame call, CallerService service) throws InterruptedException
     {
         return switch (call.getBodyCase())
         {
             case ADVICE -> PeerAdvice.handle(call.getAdvice(), platform.advice());
-            case OWNER -> PeerOwnerProbe.handle(call.getOwner(), id, election, monitor);
-            case RELAY -> RelayPeer.handle(call.getRelay(), service);
-            case STORE -> PeerStoreQuestion.handle(store);
+            case OWNER -> PeerOwnerProbe.handle(call.getOwner(), id, election, ownerMonitor);
+            case RELAY -> PeerRelay.handle(call.getRelay(), service);
+            case STORE -> PeerStoreProbe.handle(store);
             case JOB_NOTICE -> PeerJobNotice.handle(call.getJobNotice(), election);
             default ->
                 throw new GaugehollowException(ResultCode.PEER_BAD_CALL, "unexpected " + call.getBodyCase());
         };
     }
 
-    private void addGauges()
+    private void registerGauges()
     {
         metrics.gauge("gaugehollow_owner", "1 where this box owns the cell.",
                 () -> election.isOwner() ? 1 : 0);
@@ -174,22 +174,22 @@
 
     private void startTasks()
     {
-        root.start("config", new KeyFollower(store, platform.configKey(), config, events));
-        root.start("registry", registry);
-        root.start("config-probe", configProbe);
-        root.start("peers", new KeyFollower(store, JobKeys.BOXES, registry, events));
-        root.start("election", election);
-        root.start("rehearsal", new OwnerWarmup(election, registry, SCORE));
+        supervisor.start("config", new KeyFollower(store, platform.configKey(), config, events));
+        supervisor.start("registry", registry);
+        supervisor.start("config-probe", configProbe);
+        supervisor.start("peers", new KeyFollower(store, JobKeys.BOXES, registry, events));
+        supervisor.start("election", election);
+        supervisor.start("rehearsal", new OwnerWarmup(election, registry, SCORE));
     }
 
-    private void answerReadiness(HttpExchange exchange) throws InterruptedException
+    private void handleReadiness(HttpExchange exchange) throws InterruptedException
     {
-        exchange.respond(HttpReply.of(isReady() ? OK : UNAVAILABLE, "text/plain", new byte[0]));
+        exchange.respond(HttpReply.of(isReady() ? HTTP_OK : HTTP_UNAVAILABLE, "text/plain", new byte[0]));
     }
 
-    private void answerMetrics(HttpExchange exchange) throws InterruptedException
+    private void handleMetrics(HttpExchange exchange) throws InterruptedException
     {
-        exchange.respond(HttpReply.of(OK, Metrics.CONTENT_TYPE, metrics.scrape()));
+        exchange.respond(HttpReply.of(HTTP_OK, Metrics.CONTENT_TYPE, metrics.scrape()));
     }
 
     /** @return whether callers should be sent here */
@@ -222,14 +222,15 @@
         {
             return;
         }
-        long end = SteadyClock.nanos() + (settings.drainSeconds() * MILLIS - LAST_MARGIN_MILLIS) * 1_000_000L;
+        long drainDeadline = SteadyClock.nanos()
+                + (settings.drainSeconds() * MILLIS_PER_SECOND - DRAIN_MARGIN_MILLIS) * 1_000_000L;
         events.record(EventType.PROCESS_STOPPING, id, "");
         election.resign();
-        Thread.sleep(Math.min(BALANCER_MILLIS, settings.drainSeconds() * MILLIS / 2));
+        Thread.sleep(Math.min(DEREGISTRATION_MILLIS, settings.drainSeconds() * MILLIS_PER_SECOND / 2));
         callerServer.stopAccepting();
-        while (callerServer.inFlight() > 0 && SteadyClock.nanos() < end)
+        while (callerServer.inFlight() > 0 && SteadyClock.nanos() < drainDeadline)
         {
-            Thread.sleep(STEP_MILLIS);
+            Thread.sleep(DRAIN_POLL_MILLIS);
         }
         events.record(EventType.PROCESS_STOPPED, id, "in flight: " + callerServer.inFlight());
         close();
@@ -238,12 +239,12 @@
     @Override
     public void close()
     {
-        root.close();
+        supervisor.close();
         callerServer.close();
         readinessServer.close();
         metricsServer.close();
         peerServer.close();
-        directory.close();
+        peerDirectory.close();
         store.close();
         loops.close();
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/JobBoxSettings.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/JobBoxSettings.java
@@ -29,31 +29,31 @@
         String peerAddress, String metricsAddress, String storeAddress, String adviceAddress,
         int statusSeconds, int drainSeconds, Integer processors, Double processorShare)
 {
-    private static final int SHORTEST_DRAIN = 1;
-    private static final int LONGEST_DRAIN = 600;
-    private static final int MOST_PROCESSORS = 4_096;
-    private static final int MILLIS = 1_000;
-    private static final int LONGEST_STATUS = 86_400;
+    private static final int MIN_DRAIN_SECONDS = 1;
+    private static final int MAX_DRAIN_SECONDS = 600;
+    private static final int MAX_PROCESSORS = 4_096;
+    private static final int MILLIS_PER_PROCESSOR = 1_000;
+    private static final int MAX_STATUS_SECONDS = 86_400;
 
     /** Checks every key. */
     public JobBoxSettings
     {
         Checks.present(box, "box");
         Checks.present(hall, "hall");
-        address(callerAddress, "callerAddress");
-        address(readinessAddress, "readinessAddress");
-        address(peerAddress, "peerAddress");
-        address(metricsAddress, "metricsAddress");
-        address(storeAddress, "storeAddress");
+        checkAddress(callerAddress, "callerAddress");
+        checkAddress(readinessAddress, "readinessAddress");
+        checkAddress(peerAddress, "peerAddress");
+        checkAddress(metricsAddress, "metricsAddress");
+        checkAddress(storeAddress, "storeAddress");
         adviceAddress = adviceAddress == null ? "" : adviceAddress;
         if (!adviceAddress.isEmpty())
         {
-            address(adviceAddress, "adviceAddress");
+            checkAddress(adviceAddress, "adviceAddress");
         }
-        Checks.range(statusSeconds, 1, LONGEST_STATUS, "statusSeconds");
-        Checks.range(drainSeconds, SHORTEST_DRAIN, LONGEST_DRAIN, "drainSeconds");
+        Checks.range(statusSeconds, 1, MAX_STATUS_SECONDS, "statusSeconds");
+        Checks.range(drainSeconds, MIN_DRAIN_SECONDS, MAX_DRAIN_SECONDS, "drainSeconds");
         processors = processors == null ? 1 : processors;
-        Checks.range(processors, 1, MOST_PROCESSORS, "processors");
+        Checks.range(processors, 1, MAX_PROCESSORS, "processors");
         processorShare = processorShare == null ? 1 : processorShare;
         if (!(processorShare > 0 && processorShare <= 1))
         {
@@ -65,10 +65,10 @@
     /** @return how much processing the box can do, in thousandths of a processor */
     public int processorMillis()
     {
-        return (int) (processors * processorShare * MILLIS);
+        return (int) (processors * processorShare * MILLIS_PER_PROCESSOR);
     }
 
-    private static void address(String text, String key)
+    private static void checkAddress(String text, String key)
     {
         if (text == null)
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/box/JobIntake.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/JobIntake.java
@@ -40,26 +40,26 @@
 {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long ANSWER_MARGIN_NANOS = 150 * NANOS_PER_MILLI;
-    private static final int RETRY_MILLIS = 30;
-    private static final TypeReference<Map<String, Integer>> COUNTS = new TypeReference<>()
+    private static final int RETRY_DELAY_MILLIS = 30;
+    private static final TypeReference<Map<String, Integer>> COUNTS_TYPE = new TypeReference<>()
     {
     };
 
     private final MonitoredStore store;
-    private final JobListener notices;
+    private final JobListener listener;
     private final EventLog events;
     private final Metrics metrics;
 
     /**
      * @param store the platform's store
-     * @param notices is told of each job whose record or cancellation this box wrote
+     * @param listener is told of each job whose record or cancellation this box wrote
      * @param events where each decision is recorded
      * @param metrics counts and times the calls
      */
-    public JobIntake(MonitoredStore store, JobListener notices, EventLog events, Metrics metrics)
+    public JobIntake(MonitoredStore store, JobListener listener, EventLog events, Metrics metrics)
     {
         this.store = store;
-        this.notices = notices;
+        this.listener = listener;
         this.events = events;
         this.metrics = metrics;
     }
@@ -72,7 +72,7 @@
 
     private <T> T timed(String name, Call<T> call) throws InterruptedException
     {
-        long begun = SteadyClock.nanos();
+        long startNanos = SteadyClock.nanos();
         ResultCode code = ResultCode.INTERNAL;
         try
         {
@@ -87,7 +87,7 @@
         }
         finally
         {
-            metrics.jobCall(name, code.name(), SteadyClock.nanos() - begun);
+            metrics.jobCall(name, code.name(), SteadyClock.nanos() - startNanos);
         }
     }
 
@@ -117,31 +117,31 @@
     private boolean accept(JobScope scope, String id, JobSpec job, long deadlineNanos)
             throws InterruptedException
     {
-        refuseWhileSilent(id);
+        requireResponsiveStore(id);
         byte[] record = JobCodec.writeRecord(
                 new JobRecord(id, scope.queue(), job, System.currentTimeMillis(), scope.customer()));
         StoreTransaction write = new StoreTransaction().require(JobKeys.job(id), 0).put(JobKeys.job(id),
                 record);
-        boolean[] fresh = new boolean[1];
-        writeUntilKnown(() -> fresh[0] = HedgedCall.write(() -> store.commit(write)).isPresent(), id,
+        boolean[] created = new boolean[1];
+        writeUntilSettled(() -> created[0] = HedgedCall.write(() -> store.commit(write)).isPresent(), id,
                 deadlineNanos);
-        if (!fresh[0] && scope.customer() != null)
+        if (!created[0] && scope.customer() != null)
         {
-            refuseAnothersId(scope, id);
+            requireSameCustomer(scope, id);
         }
-        notices.onJobWritten(id);
-        events.record(EventType.JOB_ACCEPTED, id,
-                scope.queue().name() + of(scope.customer()) + (fresh[0] ? "" : ", known already"));
-        return fresh[0];
+        listener.onJobWritten(id);
+        events.record(EventType.JOB_ACCEPTED, id, scope.queue().name() + customerSuffix(scope.customer())
+                + (created[0] ? "" : ", known already"));
+        return created[0];
     }
 
-    private static String of(String customer)
+    private static String customerSuffix(String customer)
     {
         return customer == null ? "" : " of " + customer;
     }
 
     /** An id that another customer's job has is not this caller's; its own job was not taken. */
-    private void refuseAnothersId(JobScope scope, String id) throws InterruptedException
+    private void requireSameCustomer(JobScope scope, String id) throws InterruptedException
     {
         Optional<String> owner = readAfterWrite(id).map(JobRecord::customer);
         if (owner.isPresent() && !owner.get().equals(scope.customer()))
@@ -155,7 +155,7 @@
     /**
      * Nothing is sent to a store that does not answer: the caller is told at once when to come back.
      */
-    private void refuseWhileSilent(String id)
+    private void requireResponsiveStore(String id)
     {
         if (store.isUnresponsive())
         {
@@ -170,7 +170,7 @@
     {
         try
         {
-            return recordIn(id, listRecord(id)).map(value -> JobCodec.readRecord(value.value()));
+            return findRecord(id, listJob(id)).map(value -> JobCodec.readRecord(value.value()));
         }
         catch (GaugehollowException e)
         {
@@ -179,9 +179,9 @@
         }
     }
 
-    private void writeUntilKnown(Write write, String id, long deadlineNanos) throws InterruptedException
+    private void writeUntilSettled(Write write, String id, long deadlineNanos) throws InterruptedException
     {
-        TryOutcomes tries = new TryOutcomes();
+        TryOutcomes attempts = new TryOutcomes();
         while (true)
         {
             try
@@ -191,16 +191,16 @@
             }
             catch (GaugehollowException e)
             {
-                tries.add(e);
-                boolean late = deadlineNanos - SteadyClock.nanos() < ANSWER_MARGIN_NANOS;
-                if (!tries.mayRun() || late || store.isUnresponsive())
+                attempts.add(e);
+                boolean deadlineNear = deadlineNanos - SteadyClock.nanos() < ANSWER_MARGIN_NANOS;
+                if (!attempts.mayRun() || deadlineNear || store.isUnresponsive())
                 {
-                    GaugehollowException refusal = tries.failure();
-                    events.record(EventType.JOB_REFUSED, id, refusal.code() + ": " + refusal.getMessage());
-                    throw refusal;
+                    GaugehollowException failure = attempts.failure();
+                    events.record(EventType.JOB_REFUSED, id, failure.code() + ": " + failure.getMessage());
+                    throw failure;
                 }
             }
-            Thread.sleep(RETRY_MILLIS);
+            Thread.sleep(RETRY_DELAY_MILLIS);
         }
     }
 
@@ -221,22 +221,22 @@
     private boolean writeCancellation(JobScope scope, String id, long deadlineNanos)
             throws InterruptedException
     {
-        refuseWhileSilent(id);
-        StoreListing listing = listRecord(id);
-        if (recordIn(id, listing).isEmpty())
+        requireResponsiveStore(id);
+        StoreListing listing = listJob(id);
+        if (findRecord(id, listing).isEmpty())
         {
-            if (holdBack(scope, id, deadlineNanos))
+            if (cancelIfAbsent(scope, id, deadlineNanos))
             {
-                throw unknown(scope, id, listing.revision());
+                throw unknownJob(scope, id, listing.revision());
             }
-            listing = listRecord(id);
+            listing = listJob(id);
         }
-        find(scope, id, listing);
+        requireRecord(scope, id, listing);
         StoreTransaction write = new StoreTransaction().put(JobKeys.cancel(id),
                 Cancellation.of(scope).write());
-        writeUntilKnown(() -> HedgedCall.write(() -> store.commit(write)), id, deadlineNanos);
-        events.record(EventType.JOB_CANCELLED, id, scope.queue().name() + of(scope.customer()));
-        notices.onJobCancelled(id);
+        writeUntilSettled(() -> HedgedCall.write(() -> store.commit(write)), id, deadlineNanos);
+        events.record(EventType.JOB_CANCELLED, id, scope.queue().name() + customerSuffix(scope.customer()));
+        listener.onJobCancelled(id);
         return true;
     }
 
@@ -247,12 +247,12 @@
      *
      * @return whether there still was no record
      */
-    private boolean holdBack(JobScope scope, String id, long deadlineNanos) throws InterruptedException
+    private boolean cancelIfAbsent(JobScope scope, String id, long deadlineNanos) throws InterruptedException
     {
         StoreTransaction write = new StoreTransaction().require(JobKeys.job(id), 0).put(JobKeys.cancel(id),
                 Cancellation.of(scope).write());
         boolean[] written = new boolean[1];
-        writeUntilKnown(() -> written[0] = HedgedCall.write(() -> store.commit(write)).isPresent(), id,
+        writeUntilSettled(() -> written[0] = HedgedCall.write(() -> store.commit(write)).isPresent(), id,
                 deadlineNanos);
         return written[0];
     }
@@ -266,57 +266,58 @@
      */
     public JobState state(JobScope scope, String id) throws InterruptedException
     {
-        return timed("state", () -> read(scope, id));
+        return timed("state", () -> readState(scope, id));
     }
 
-    private JobState read(JobScope scope, String id) throws InterruptedException
+    private JobState readState(JobScope scope, String id) throws InterruptedException
     {
-        refuseWhileSilent(id);
+        requireResponsiveStore(id);
         Optional<StoredValue> stored = HedgedCall.read(() -> store.get(JobKeys.progress(id)));
         if (stored.isPresent())
         {
             JobProgress progress = JobCodec.readProgress(stored.get().value());
-            check(scope, id, progress.queue(), progress.customer(), stored.get().modRevision());
+            requireInScope(scope, id, progress.queue(), progress.customer(), stored.get().modRevision());
             return progress.state();
         }
-        StoreListing listing = listRecord(id);
-        JobRecord record = find(scope, id, listing);
+        StoreListing listing = listJob(id);
+        JobRecord record = requireRecord(scope, id, listing);
         boolean cancelled = listing.values().stream().filter(v -> v.key().equals(JobKeys.cancel(id)))
                 .anyMatch(v -> Cancellation.read(v.value()).appliesTo(record));
         return cancelled ? JobState.CANCELLED : JobState.QUEUED;
     }
 
-    private StoreListing listRecord(String id) throws InterruptedException
+    private StoreListing listJob(String id) throws InterruptedException
     {
         return HedgedCall.read(() -> store.list(JobKeys.jobPrefix(id)));
     }
 
     /** Another customer's job is answered as one that is not there: neither tells of the other. */
-    private void check(JobScope scope, String id, String queue, String customer, long revision)
+    private void requireInScope(JobScope scope, String id, String queue, String customer, long revision)
     {
         if (!scope.covers(queue, customer))
         {
-            throw unknown(scope, id, revision);
+            throw unknownJob(scope, id, revision);
         }
     }
 
-    private GaugehollowException unknown(JobScope scope, String id, long revision)
+    private GaugehollowException unknownJob(JobScope scope, String id, long revision)
     {
         String queue = scope.queue().name();
         events.record(EventType.JOB_REFUSED, id, ResultCode.UNKNOWN_JOB + ": not in " + queue
-                + of(scope.customer()) + " at revision " + revision);
+                + customerSuffix(scope.customer()) + " at revision " + revision);
         return new GaugehollowException(ResultCode.UNKNOWN_JOB, "no job " + id + " in " + queue);
     }
 
-    private JobRecord find(JobScope scope, String id, StoreListing listing)
+    private JobRecord requireRecord(JobScope scope, String id, StoreListing listing)
     {
-        StoredValue value = recordIn(id, listing).orElseThrow(() -> unknown(scope, id, listing.revision()));
+        StoredValue value = findRecord(id, listing)
+                .orElseThrow(() -> unknownJob(scope, id, listing.revision()));
         JobRecord record = JobCodec.readRecord(value.value());
-        check(scope, id, record.queue().name(), record.customer(), value.modRevision());
+        requireInScope(scope, id, record.queue().name(), record.customer(), value.modRevision());
         return record;
     }
 
-    private static Optional<StoredValue> recordIn(String id, StoreListing listing)
+    private static Optional<StoredValue> findRecord(String id, StoreListing listing)
     {
         return listing.values().stream().filter(value -> value.key().equals(JobKeys.job(id))).findFirst();
     }
@@ -329,7 +330,7 @@
      */
     public int pending(QueueSpec queue) throws InterruptedException
     {
-        refuseWhileSilent(queue.name());
+        requireResponsiveStore(queue.name());
         Optional<StoredValue> stored = HedgedCall.read(() -> store.get(JobKeys.SUMMARY));
         if (stored.isEmpty())
         {
@@ -337,7 +338,7 @@
         }
         try
         {
-            return Json.mapper().readValue(stored.get().value(), COUNTS).getOrDefault(queue.name(), 0);
+            return Json.mapper().readValue(stored.get().value(), COUNTS_TYPE).getOrDefault(queue.name(), 0);
         }
         catch (java.io.IOException e)
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/box/MonitoredPlatform.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/MonitoredPlatform.java
@@ -63,9 +63,9 @@
     }
 
     @Override
-    public WorkerPort openWorker(WorkerEntry worker, BooleanSupplier mayOrder)
+    public WorkerPort openWorker(WorkerEntry worker, BooleanSupplier maySendCommands)
     {
-        return platform.openWorker(worker, mayOrder);
+        return platform.openWorker(worker, maySendCommands);
     }
 
     @Override
--- a/gaugehollow/src/main/java/org/gaugehollow/box/PeerAdvice.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/PeerAdvice.java
@@ -17,7 +17,7 @@
 /** Asks a peer to call the advice service for this box. */
 final class PeerAdvice implements AdvicePort
 {
-    private static final int SLACK_MILLIS = 200;
+    private static final int NETWORK_MARGIN_MILLIS = 200;
 
     private final PeerLink link;
 
@@ -31,7 +31,7 @@
     {
         AdviceCall call = AdviceCall.newBuilder().setStep(step).addAllWorkers(workers)
                 .setTimeoutMillis(timeoutMillis).build();
-        Frame reply = link.call(Frame.newBuilder().setAdvice(call), timeoutMillis + SLACK_MILLIS);
+        Frame reply = link.call(Frame.newBuilder().setAdvice(call), timeoutMillis + NETWORK_MARGIN_MILLIS);
         AdviceReply advice = reply.getAdviceReply();
         return new Advice(
                 advice.getTicketsList().stream()
@@ -40,9 +40,9 @@
     }
 
     /** Answers a peer's call over this box's own line. */
-    static Frame.Builder handle(AdviceCall asked, AdvicePort own) throws InterruptedException
+    static Frame.Builder handle(AdviceCall call, AdvicePort adviceService) throws InterruptedException
     {
-        Advice advice = own.advise(asked.getStep(), asked.getWorkersList(), asked.getTimeoutMillis());
+        Advice advice = adviceService.advise(call.getStep(), call.getWorkersList(), call.getTimeoutMillis());
         AdviceReply.Builder reply = AdviceReply.newBuilder().setValidMillis(advice.validMillis());
         advice.tickets().forEach(ticket -> reply
                 .addTickets(AdviceTicket.newBuilder().setWorker(ticket.worker()).setText(ticket.text())));
--- a/gaugehollow/src/main/java/org/gaugehollow/box/PeerOwnerProbe.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/PeerOwnerProbe.java
@@ -16,7 +16,7 @@
 /** Asks registered boxes about the owner over their links, and answers when they ask. */
 final class PeerOwnerProbe implements OwnerProbe
 {
-    private static final int SLACK_MILLIS = 450;
+    private static final int NETWORK_MARGIN_MILLIS = 450;
 
     private final BoxRegistry registry;
 
@@ -35,26 +35,26 @@
     public Result probe(String box, String owner, int waitMillis) throws InterruptedException
     {
         OwnerCall.Builder call = OwnerCall.newBuilder().setOwner(owner).setWaitMillis(waitMillis);
-        return registry.call(box, Frame.newBuilder().setOwner(call), waitMillis + SLACK_MILLIS)
-                .map(Frame::getOwnerReply).map(PeerOwnerProbe::standing).orElse(Result.UNREACHED);
+        return registry.call(box, Frame.newBuilder().setOwner(call), waitMillis + NETWORK_MARGIN_MILLIS)
+                .map(Frame::getOwnerReply).map(PeerOwnerProbe::toResult).orElse(Result.UNREACHED);
     }
 
-    private static Result standing(OwnerReply reply)
+    private static Result toResult(OwnerReply reply)
     {
         return new Result(true, reply.getIsOwner(), reply.getUnconfirmedMillis(), reply.getSilent());
     }
 
     /** Answers a peer's call about the owner. */
-    static Frame.Builder handle(OwnerCall call, String self, OwnerElection election, OwnerMonitor monitor)
+    static Frame.Builder handle(OwnerCall call, String box, OwnerElection election, OwnerMonitor monitor)
             throws InterruptedException
     {
-        boolean owner = self.equals(call.getOwner()) && election.isOwner();
-        if (owner)
+        boolean isOwner = box.equals(call.getOwner()) && election.isOwner();
+        if (isOwner)
         {
             Thread.sleep(call.getWaitMillis());
         }
         return Frame.newBuilder()
-                .setOwnerReply(OwnerReply.newBuilder().setIsOwner(owner)
+                .setOwnerReply(OwnerReply.newBuilder().setIsOwner(isOwner)
                         .setUnconfirmedMillis(election.unconfirmedMillis())
                         .setSilent(monitor.isOwnerUnresponsive(call.getOwner())));
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/RelayPeer.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/PeerRelay.java
@@ -19,13 +19,13 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /** Hands callers' requests to a peer, and answers those that peers hand to this box. */
-final class RelayPeer implements CallerRelay.Peer
+final class PeerRelay implements CallerRelay.Peer
 {
     private static final int TIMEOUT_MILLIS = 800;
 
     private final PeerLink link;
 
-    RelayPeer(PeerLink link)
+    PeerRelay(PeerLink link)
     {
         this.link = link;
     }
@@ -42,13 +42,13 @@
     }
 
     /** Answers a peer's call by this box's own service, never over another peer. */
-    static Frame.Builder handle(RelayCall call, CallerService own) throws InterruptedException
+    static Frame.Builder handle(RelayCall call, CallerService service) throws InterruptedException
     {
         HttpHeaders headers = new DefaultHttpHeaders();
         call.getHeadersList().forEach(header -> headers.add(header.getName(), header.getValue()));
         HttpMessage request = new HttpMessage(call.getMethod(), call.getPath(), call.getQuery(), headers,
                 call.getBody().toByteArray());
-        HttpReply reply = own.answer(request);
+        HttpReply reply = service.answer(request);
         String type = reply.headers().get(HttpHeaderNames.CONTENT_TYPE, "");
         return Frame.newBuilder().setRelayReply(RelayReply.newBuilder().setStatus(reply.status())
                 .setContentType(type).setBody(ByteString.copyFrom(reply.body())));
--- a/gaugehollow/src/main/java/org/gaugehollow/box/PeerStoreQuestion.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/PeerStoreProbe.java
@@ -10,19 +10,19 @@
 import org.gaugehollow.platform.MonitoredStore;
 
 /** Asks registered boxes over their links whether the store answers them, and answers the same. */
-final class PeerStoreQuestion implements StoreHelpers.Question
+final class PeerStoreProbe implements StorePeerFinder.StoreProbe
 {
     private static final int TIMEOUT_MILLIS = 300;
 
     private final BoxRegistry registry;
 
-    PeerStoreQuestion(BoxRegistry registry)
+    PeerStoreProbe(BoxRegistry registry)
     {
         this.registry = registry;
     }
 
     @Override
-    public boolean storeAnswers(String peer) throws InterruptedException
+    public boolean hasStoreAccess(String peer) throws InterruptedException
     {
         Frame.Builder call = Frame.newBuilder().setStore(StoreCall.getDefaultInstance());
         return registry.call(peer, call, TIMEOUT_MILLIS).map(Frame::getStoreReply).map(StoreReply::getAnswers)
--- /dev/null
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/StorePeerFinder.java
@@ -0,0 +1,150 @@
+/*
+ * Licensed to the gaugehollow project under the Apache License, Version 2.0.
+ * See the LICENSE file at the root of this repository for the full terms.
+ */
+package org.gaugehollow.box;
+
+import java.util.ArrayList;
+import java.util.Collection;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Set;
+import java.util.concurrent.ConcurrentHashMap;
+import java.util.concurrent.CountDownLatch;
+import java.util.concurrent.TimeUnit;
+import java.util.function.LongSupplier;
+import java.util.function.Supplier;
+
+/**
+ * Finds the peers whose calls the store answers. All registered peers are asked at the same time,
+ * and only when somebody wants to know; what they said holds for a moment.
+ */
+final class StorePeerFinder
+{
+    /** How long a round of questions serves all who ask. */
+    private static final long ROUND_VALIDITY_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
+    /** How long to wait for the first peer that can help. */
+    private static final int MAX_WAIT_MILLIS = 120;
+
+    /** Asks one peer whether the store answers it. */
+    @FunctionalInterface
+    interface StoreProbe
+    {
+        /**
+         * @param peer a registered box
+         * @return whether the store answers that box; false as well if the box does not answer
+         * @throws InterruptedException if the process stops
+         */
+        boolean hasStoreAccess(String peer) throws InterruptedException;
+    }
+
+    /** One round of questions. */
+    private static final class Round
+    {
+        private final long startNanos;
+        private final Set<String> peersWithAccess = ConcurrentHashMap.newKeySet();
+        private final CountDownLatch firstMatchOrEnd = new CountDownLatch(1);
+        private int pendingReplies;
+
+        Round(long startNanos, int pendingReplies)
+        {
+            this.startNanos = startNanos;
+            this.pendingReplies = pendingReplies;
+        }
+
+        synchronized void onReply(String peer, boolean hasAccess)
+        {
+            pendingReplies--;
+            if (hasAccess)
+            {
+                peersWithAccess.add(peer);
+            }
+            if (hasAccess || pendingReplies == 0)
+            {
+                firstMatchOrEnd.countDown();
+            }
+        }
+    }
+
+    private final Supplier<Set<String>> peers;
+    private final StoreProbe storeProbe;
+    private final LongSupplier nanoTime;
+    private Round lastRound;
+
+    /**
+     * @param peers the ids of the registered boxes
+     * @param storeProbe asks one of them
+     * @param nanoTime a monotonic clock
+     */
+    StorePeerFinder(Supplier<Set<String>> peers, StoreProbe storeProbe, LongSupplier nanoTime)
+    {
+        this.peers = peers;
+        this.storeProbe = storeProbe;
+        this.nanoTime = nanoTime;
+    }
+
+    /** The peers that have just said that the store answers them; none if no peer says so in time. */
+    List<String> find() throws InterruptedException
+    {
+        Round round = currentRound();
+        boolean answered = round.firstMatchOrEnd.await(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
+        return answered ? new ArrayList<>(round.peersWithAccess) : List.of();
+    }
+
+    private synchronized Round currentRound()
+    {
+        long now = nanoTime.getAsLong();
+        if (lastRound == null || now - lastRound.startNanos > ROUND_VALIDITY_NANOS)
+        {
+            lastRound = startRound(peers.get(), now);
+        }
+        return lastRound;
+    }
+
+    private Round startRound(Collection<String> peerIds, long now)
+    {
+        Round round = new Round(now, peerIds.size());
+        if (peerIds.isEmpty())
+        {
+            round.firstMatchOrEnd.countDown();
+        }
+        for (String peer : peerIds)
+        {
+            Thread.ofVirtual().name("store-question-" + peer).start(() -> probePeer(peer, round));
+        }
+        return round;
+    }
+
+    private void probePeer(String peer, Round round)
+    {
+        boolean hasAccess = false;
+        try
+        {
+            hasAccess = storeProbe.hasStoreAccess(peer);
+        }
+        catch (InterruptedException e)
+        {
+            Thread.currentThread().interrupt();
+        }
+        finally
+        {
+            round.onReply(peer, hasAccess);
+        }
+    }
+
+    /** Of some ways to peers, those to peers that can help. */
+    Map<String, CallerRelay.Peer> filter(Map<String, CallerRelay.Peer> candidates) throws InterruptedException
+    {
+        Map<String, CallerRelay.Peer> peersWithAccess = new HashMap<>();
+        for (String peer : find())
+        {
+            CallerRelay.Peer candidate = candidates.get(peer);
+            if (candidate != null)
+            {
+                peersWithAccess.put(peer, candidate);
+            }
+        }
+        return peersWithAccess;
+    }
+}
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/WorkerPort.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/WorkerPort.java
@@ -16,7 +16,7 @@
      * @return what became of it
      * @throws InterruptedException if the process stops
      */
-    CommandReply start(StartCommand order, int timeoutMillis) throws InterruptedException;
+    CommandReply start(StartCommand command, int timeoutMillis) throws InterruptedException;
 
     /**
      * @param task the task's full name
@@ -46,7 +46,7 @@
      * @return what runs there and what ended
      * @throws InterruptedException if the process stops
      */
-    HeartbeatReply heartbeat(HeartbeatRequest order, int timeoutMillis) throws InterruptedException;
+    HeartbeatReply heartbeat(HeartbeatRequest request, int timeoutMillis) throws InterruptedException;
 
     @Override
     void close();
--- a/gaugehollow/src/test/java/org/gaugehollow/box/BoxRegistryTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/BoxRegistryTest.java
@@ -26,15 +26,15 @@
 /** Boxes that come, go and start again under the same address. */
 class BoxRegistryTest
 {
-    private static final byte[] ADDRESS = Json.write(new BoxRegistry.Entry("127.0.0.1:1", 1_000));
+    private static final byte[] ENTRY = Json.write(new BoxRegistry.Entry("127.0.0.1:1", 1_000));
 
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
     private final NetLoops loops = new NetLoops(Optional.empty());
     private final PeerDirectory directory = new PeerDirectory(loops, events, new Metrics());
-    private final AdviceDispatcher lines = new AdviceDispatcher(
+    private final AdviceDispatcher adviceDispatcher = new AdviceDispatcher(
             (step, workers, timeout) -> new Advice(List.of(), 0), events);
     private final BoxRegistry registry = new BoxRegistry("self", new BoxRegistry.Entry("127.0.0.1:2", 700),
-            new FakeStore(), directory, lines, events);
+            new FakeStore(), directory, adviceDispatcher, events);
 
     @AfterEach
     void close()
@@ -44,45 +44,45 @@
     }
 
     @Test
-    void theLinkToABoxThatStartedAgainOutlivesTheEndOfItsRegistrationBefore()
+    void endOfOldRegistrationKeepsLinkToRestartedBox()
     {
-        registry.onPut(JobKeys.BOXES + "a~1", ADDRESS, 1);
-        registry.onPut(JobKeys.BOXES + "a~2", ADDRESS, 2);
+        registry.onPut(JobKeys.BOXES + "a~1", ENTRY, 1);
+        registry.onPut(JobKeys.BOXES + "a~2", ENTRY, 2);
         PeerLink link = directory.link("127.0.0.1:1");
         registry.onRemoved(JobKeys.BOXES + "a~1", 3);
         assertThat(directory.link("127.0.0.1:1")).isSameInstanceAs(link);
     }
 
     @Test
-    void aLifeThatIsListedAfterALaterOneOfTheSameBoxIsNotTakenForIt()
+    void olderIncarnationListedLaterIsIgnored()
     {
-        registry.onPut(JobKeys.BOXES + "a~2", ADDRESS, 2);
-        registry.onPut(JobKeys.BOXES + "a~1", ADDRESS, 1);
+        registry.onPut(JobKeys.BOXES + "a~2", ENTRY, 2);
+        registry.onPut(JobKeys.BOXES + "a~1", ENTRY, 1);
         assertThat(registry.peers()).containsExactly("a~2");
         registry.onRemoved(JobKeys.BOXES + "a~1", 3);
         assertThat(registry.peers()).containsExactly("a~2");
     }
 
     @Test
-    void anEarlierLifeOfThisBoxIsNoPeer()
+    void earlierIncarnationOfThisBoxIsNotAPeer()
     {
         registry.onPut(JobKeys.BOXES + "self~0", Json.write(new BoxRegistry.Entry("127.0.0.1:2", 700)), 1);
         assertThat(registry.peers()).isEmpty();
     }
 
     @Test
-    void theLinkToABoxThatIsGoneIsClosed()
+    void linkToRemovedBoxIsClosed()
     {
-        registry.onPut(JobKeys.BOXES + "a~1", ADDRESS, 1);
+        registry.onPut(JobKeys.BOXES + "a~1", ENTRY, 1);
         PeerLink link = directory.link("127.0.0.1:1");
         registry.onRemoved(JobKeys.BOXES + "a~1", 2);
         assertThat(directory.link("127.0.0.1:1")).isNotSameInstanceAs(link);
     }
 
     @Test
-    void aStrongerBoxOutranksThisOneOnceItHasBeenThereForAWhile() throws InterruptedException
+    void largerBoxOutranksThisOneAfterMinimumTime() throws InterruptedException
     {
-        registry.onPut(JobKeys.BOXES + "a~1", ADDRESS, 1);
+        registry.onPut(JobKeys.BOXES + "a~1", ENTRY, 1);
         assertThat(registry.isOutranked("")).isFalse();
         Thread.sleep(1_100);
         assertThat(registry.isOutranked("")).isTrue();
@@ -90,9 +90,9 @@
     }
 
     @Test
-    void aBoxIsTheElderOfThoseThatRegisteredLaterAndCanDoAsMuch() throws InterruptedException
+    void boxIsLongerRunningThanLaterBoxesOfSimilarCapacity() throws InterruptedException
     {
-        registry.onPut(JobKeys.BOXES + "b~1", ADDRESS, 1);
+        registry.onPut(JobKeys.BOXES + "b~1", ENTRY, 1);
         registry.onPut(JobKeys.BOXES + "self", Json.write(new BoxRegistry.Entry("127.0.0.1:2", 700)), 2);
         Thread.sleep(1_100);
         assertThat(registry.isLongerRunning("")).isFalse();
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void aBoxThatIsAboutAsStrongDoesNotOutrankThisOne() throws InterruptedException
+    void boxOfSimilarCapacityDoesNotOutrankThisOne() throws InterruptedException
     {
         registry.onPut(JobKeys.BOXES + "a~1", Json.write(new BoxRegistry.Entry("127.0.0.1:1", 750)), 1);
         Thread.sleep(1_100);
@@ -113,10 +113,10 @@
     }
 
     @Test
-    void aRegistrationThatCannotBeReadIsLeftOut()
+    void unreadableRegistrationIsIgnored()
     {
         registry.onPut(JobKeys.BOXES + "a~1", new byte[]{'x'}, 1);
-        registry.onPut(JobKeys.BOXES + "b~1", ADDRESS, 2);
+        registry.onPut(JobKeys.BOXES + "b~1", ENTRY, 2);
         assertThat(registry.peers()).containsExactly("b~1");
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/box/CallerRelayTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/CallerRelayTest.java
@@ -43,14 +43,14 @@
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
     private final AtomicLong clock = new AtomicLong();
     private final Map<String, CallerRelay.Peer> peers = new LinkedHashMap<>();
-    private final List<String> asked = new ArrayList<>();
+    private final List<String> calledPeers = new ArrayList<>();
 
-    private CallerRelay relay(CallerService own)
+    private CallerRelay relay(CallerService localService)
     {
-        return new CallerRelay(own, () -> peers, events, clock::get);
+        return new CallerRelay(localService, () -> peers, events, clock::get);
     }
 
-    private static CallerService refusing(ResultCode code)
+    private static CallerService rejecting(ResultCode code)
     {
         return request ->
         {
@@ -58,11 +58,11 @@
         };
     }
 
-    private void addRefusingPeer(String name, ResultCode code)
+    private void addRejectingPeer(String name, ResultCode code)
     {
         peers.put(name, request ->
         {
-            asked.add(name);
+            calledPeers.add(name);
             throw new GaugehollowException(code, name);
         });
     }
@@ -71,73 +71,73 @@
     {
         peers.put(name, request ->
         {
-            asked.add(name);
+            calledPeers.add(name);
             return HttpReply.of(200, "application/json", name.getBytes(StandardCharsets.UTF_8));
         });
     }
 
-    private static ResultCode refusal(CallerRelay relay)
+    private static ResultCode failureCode(CallerRelay relay)
     {
         return assertThrows(GaugehollowException.class, () -> relay.answer(REQUEST)).code();
     }
 
     @Test
-    void aPeerAnswersWhatThisBoxCannot() throws InterruptedException
+    void requestIsRelayedWhenStoreIsUnavailable() throws InterruptedException
     {
         addAnsweringPeer("bole-2");
-        HttpReply reply = relay(refusing(ResultCode.STORE_UNAVAILABLE)).answer(REQUEST);
+        HttpReply reply = relay(rejecting(ResultCode.STORE_UNAVAILABLE)).answer(REQUEST);
         assertThat(new String(reply.body(), StandardCharsets.UTF_8)).isEqualTo("bole-2");
     }
 
     @Test
-    void aPeerIsNotAskedWhereItCannotHelp()
+    void requestIsNotRelayedWhenPeerCannotHelp()
     {
         addAnsweringPeer("bole-2");
-        assertThat(refusal(relay(refusing(ResultCode.UNKNOWN_JOB)))).isEqualTo(ResultCode.UNKNOWN_JOB);
-        assertThat(asked).isEmpty();
+        assertThat(failureCode(relay(rejecting(ResultCode.UNKNOWN_JOB)))).isEqualTo(ResultCode.UNKNOWN_JOB);
+        assertThat(calledPeers).isEmpty();
     }
 
     @Test
-    void aRequestThatMayHaveRunIsNeverToldAsNotRun()
+    void unknownLocalOutcomeIsNotReportedAsNotRun()
     {
-        addRefusingPeer("bole-2", ResultCode.STORE_UNAVAILABLE);
-        assertThat(refusal(relay(refusing(ResultCode.STORE_OUTCOME_UNKNOWN))))
+        addRejectingPeer("bole-2", ResultCode.STORE_UNAVAILABLE);
+        assertThat(failureCode(relay(rejecting(ResultCode.STORE_OUTCOME_UNKNOWN))))
                 .isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
     }
 
     @Test
-    void aRequestLostWithAPeerMayHaveRun()
+    void lostPeerConnectionLeavesOutcomeUnknown()
     {
-        addRefusingPeer("bole-2", ResultCode.PEER_LOST);
-        addRefusingPeer("bole-3", ResultCode.STORE_UNAVAILABLE);
-        assertThat(refusal(relay(refusing(ResultCode.STORE_UNAVAILABLE))))
+        addRejectingPeer("bole-2", ResultCode.PEER_LOST);
+        addRejectingPeer("bole-3", ResultCode.STORE_UNAVAILABLE);
+        assertThat(failureCode(relay(rejecting(ResultCode.STORE_UNAVAILABLE))))
                 .isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
-        assertThat(asked).containsExactly("bole-2", "bole-3");
+        assertThat(calledPeers).containsExactly("bole-2", "bole-3");
     }
 
     @Test
-    void aRequestThatSurelyReachedNoPeerWasNotRun()
+    void unreachablePeerLeavesRequestNotRun()
     {
-        addRefusingPeer("bole-2", ResultCode.PEER_UNREACHABLE);
-        assertThat(refusal(relay(refusing(ResultCode.STORE_UNAVAILABLE))))
+        addRejectingPeer("bole-2", ResultCode.PEER_UNREACHABLE);
+        assertThat(failureCode(relay(rejecting(ResultCode.STORE_UNAVAILABLE))))
                 .isEqualTo(ResultCode.STORE_UNAVAILABLE);
     }
 
     @Test
-    void aPeerThatDidNotHelpIsLeftOutForAWhile()
+    void failedPeerIsSkippedDuringBackoff()
     {
-        addRefusingPeer("bole-2", ResultCode.PEER_UNREACHABLE);
-        CallerRelay relay = relay(refusing(ResultCode.STORE_UNAVAILABLE));
-        refusal(relay);
-        refusal(relay);
-        assertThat(asked).containsExactly("bole-2");
+        addRejectingPeer("bole-2", ResultCode.PEER_UNREACHABLE);
+        CallerRelay relay = relay(rejecting(ResultCode.STORE_UNAVAILABLE));
+        failureCode(relay);
+        failureCode(relay);
+        assertThat(calledPeers).containsExactly("bole-2");
         clock.addAndGet(TimeUnit.MILLISECONDS.toNanos(1_001));
-        refusal(relay);
-        assertThat(asked).containsExactly("bole-2", "bole-2");
+        failureCode(relay);
+        assertThat(calledPeers).containsExactly("bole-2", "bole-2");
     }
 
     @Test
-    void theWholeRequestAndTheWholeAnswerPassBetweenBoxes() throws InterruptedException
+    void relayPreservesRequestAndReply() throws InterruptedException
     {
         CallerService service = request ->
         {
@@ -152,16 +152,16 @@
         };
         NetLoops loops = new NetLoops(Optional.empty());
         try (PeerServer server = new PeerServer(loops, new InetSocketAddress("127.0.0.1", 0), events,
-                call -> RelayPeer.handle(call.getRelay(), service));
+                call -> PeerRelay.handle(call.getRelay(), service));
                 PeerLink link = new PeerLink(loops, server.address(), events, new Metrics()))
         {
-            HttpReply reply = new RelayPeer(link).answer(REQUEST);
+            HttpReply reply = new PeerRelay(link).answer(REQUEST);
             assertThat(reply.status()).isEqualTo(200);
             assertThat(new String(reply.body(), StandardCharsets.UTF_8))
                     .isEqualTo("POST /queue/00000000000000aa?a=b queue.example {}");
             HttpMessage unknown = new HttpMessage("DELETE", "/queue/x", "", new DefaultHttpHeaders(),
                     new byte[0]);
-            assertThat(assertThrows(GaugehollowException.class, () -> new RelayPeer(link).answer(unknown))
+            assertThat(assertThrows(GaugehollowException.class, () -> new PeerRelay(link).answer(unknown))
                     .code()).isEqualTo(ResultCode.UNKNOWN_JOB);
         }
         finally
@@ -171,11 +171,11 @@
     }
 
     @Test
-    void aRefusalThatNoPeerCouldAvoidEndsTheConnectionAndSaysWhenToComeBack() throws InterruptedException
+    void failureOnAllPeersClosesConnectionWithRetryAfter() throws InterruptedException
     {
         NetLoops loops = new NetLoops(Optional.empty());
         try (HttpServer server = new HttpServer(loops, new InetSocketAddress("127.0.0.1", 0), 1_000, events,
-                relay(refusing(ResultCode.STORE_UNAVAILABLE)));
+                relay(rejecting(ResultCode.STORE_UNAVAILABLE)));
                 HttpCaller caller = new HttpCaller(loops, server.address()))
         {
             HttpReply reply = caller.call("POST", "/queue/00000000000000aa", new byte[0], 5_000);
--- a/gaugehollow/src/test/java/org/gaugehollow/box/CustomersJobsTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/CustomerIsolationTest.java
@@ -31,7 +31,7 @@
 import org.junit.jupiter.api.function.Executable;
 
 /** A customer's jobs are there for its own callers only. */
-class CustomersJobsTest
+class CustomerIsolationTest
 {
     private static final String ID = "00000000000000aa";
     private static final QueueSpec QUEUE = new QueueSpec("urgent", "service", 0, 2, 250, 1.5, null);
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void anotherCustomersJobIsAnsweredAsOneThatIsNotThere() throws InterruptedException
+    void jobOfAnotherCustomerIsReportedAsUnknown() throws InterruptedException
     {
         submit(NORTH);
         assertThat(box.state(NORTH, ID)).isEqualTo(JobState.QUEUED);
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void anotherCustomersJobIsNotCancelled() throws InterruptedException
+    void jobOfAnotherCustomerIsNotCancelled() throws InterruptedException
     {
         submit(NORTH);
         assertThat(codeOf(() -> box.cancel(SOUTH, ID, inOneSecond()))).isEqualTo(ResultCode.UNKNOWN_JOB);
@@ -97,7 +97,7 @@
 
     /** Its cancellation is kept for a record that may still come, but concerns only its own. */
     @Test
-    void aCancellationBeforeTheRecordConcernsItsOwnCustomerOnly() throws InterruptedException
+    void cancellationBeforeRecordAppliesOnlyToOwnCustomer() throws InterruptedException
     {
         assertThat(codeOf(() -> box.cancel(SOUTH, ID, inOneSecond()))).isEqualTo(ResultCode.UNKNOWN_JOB);
         submit(NORTH);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void theSameIdIsOneJobForOneCustomerAndRefusedToAnother() throws InterruptedException
+    void sameIdIsIdempotentForOneCustomerAndRejectedForAnother() throws InterruptedException
     {
         submit(NORTH);
         submit(NORTH);
@@ -115,7 +115,7 @@
 
     /** The customer's own write may have taken effect, so "not run" would not be true. */
     @Test
-    void whereItIsNotKnownWhoseJobHasTheIdTheOutcomeIsUnknown() throws InterruptedException
+    void outcomeIsUnknownWhenOwnerOfIdCannotBeRead() throws InterruptedException
     {
         submit(NORTH);
         store.failReads(true);
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void aJobOfBeforeThereWereCustomersIsReadByAll() throws InterruptedException
+    void jobWithoutCustomerIsVisibleToAll() throws InterruptedException
     {
         submit(JobScope.of(QUEUE));
         assertThat(box.state(NORTH, ID)).isEqualTo(JobState.QUEUED);
--- a/gaugehollow/src/test/java/org/gaugehollow/box/FreshConfigServiceTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/FreshConfigServiceTest.java
@@ -66,7 +66,7 @@
         store.commit(new StoreTransaction().put(KEY, value.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private void silence()
+    private void makeStoreUnresponsive()
     {
         store.setDown(true);
         clock.addAndGet(TimeUnit.SECONDS.toNanos(1));
@@ -77,17 +77,17 @@
         assertThat(monitored.isUnresponsive()).isTrue();
     }
 
-    private ResultCode refusal()
+    private ResultCode failureCode()
     {
         return assertThrows(GaugehollowException.class, () -> service.answer(REQUEST)).code();
     }
 
     @Test
-    void whileTheStoreIsSilentNothingIsDecidedHere() throws InterruptedException
+    void requestsAreRejectedWhileStoreIsUnresponsive() throws InterruptedException
     {
         assertThat(service.answer(REQUEST).status()).isEqualTo(200);
-        silence();
-        assertThat(refusal()).isEqualTo(ResultCode.CONFIG_MAY_BE_OLD);
+        makeStoreUnresponsive();
+        assertThat(failureCode()).isEqualTo(ResultCode.CONFIG_MAY_BE_OLD);
     }
 
     /**
@@ -96,32 +96,32 @@
      * 13.30 s.
      */
     @Test
-    void afterASilenceTheConfigurationIsReadBeforeAnythingIsDecided() throws InterruptedException
+    void requestsAreRejectedAfterOutageUntilConfigIsRead() throws InterruptedException
     {
         write("old");
         probe.read();
-        silence();
+        makeStoreUnresponsive();
         probe.read();
         store.setDown(false);
         write("new");
         monitored.get("other");
         assertThat(monitored.isUnresponsive()).isFalse();
-        assertThat(refusal()).isEqualTo(ResultCode.CONFIG_MAY_BE_OLD);
+        assertThat(failureCode()).isEqualTo(ResultCode.CONFIG_MAY_BE_OLD);
         probe.read();
         assertThat(service.answer(REQUEST).status()).isEqualTo(200);
         assertThat(config.get()).isEqualTo("new");
     }
 
     @Test
-    void eachSilenceNeedsAReadingOfItsOwn() throws InterruptedException
+    void eachOutageRequiresNewConfigRead() throws InterruptedException
     {
-        silence();
+        makeStoreUnresponsive();
         store.setDown(false);
         probe.read();
         assertThat(service.answer(REQUEST).status()).isEqualTo(200);
-        silence();
+        makeStoreUnresponsive();
         store.setDown(false);
         monitored.get("other");
-        assertThat(refusal()).isEqualTo(ResultCode.CONFIG_MAY_BE_OLD);
+        assertThat(failureCode()).isEqualTo(ResultCode.CONFIG_MAY_BE_OLD);
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/box/JobIntakeTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/JobIntakeTest.java
@@ -52,7 +52,7 @@
     private final FakeStore store = new FakeStore();
     private final List<String> written = new ArrayList<>();
     private final List<String> cancelled = new ArrayList<>();
-    private final JobListener notices = new JobListener()
+    private final JobListener listener = new JobListener()
     {
         @Override
         public void onJobWritten(String job)
@@ -66,15 +66,15 @@
             cancelled.add(job);
         }
     };
-    private final JobIntake box = new JobIntake(monitored(), notices, events, metrics);
-    private final JobIntake otherBox = new JobIntake(monitored(), notices, events, metrics);
+    private final JobIntake box = new JobIntake(monitoredStore(), listener, events, metrics);
+    private final JobIntake otherBox = new JobIntake(monitoredStore(), listener, events, metrics);
 
-    private MonitoredStore monitored()
+    private MonitoredStore monitoredStore()
     {
         return new MonitoredStore(store, events, SteadyClock::nanos);
     }
 
-    private static long in(long millis)
+    private static long deadlineIn(long millis)
     {
         return SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(millis);
     }
@@ -91,99 +91,100 @@
     }
 
     @Test
-    void anAcceptedJobIsKnownToEveryBox() throws InterruptedException
+    void acceptedJobIsVisibleOnEveryBox() throws InterruptedException
     {
-        box.submit(JobScope.of(QUEUE), ID, JOB, in(1_000));
+        box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(1_000));
         assertThat(otherBox.state(JobScope.of(QUEUE), ID)).isEqualTo(JobState.QUEUED);
     }
 
     @Test
-    void theOwnerIsToldOfAcceptedJobsAndOfNoOthers() throws InterruptedException
+    void listenerIsNotifiedOnlyOfAcceptedJobs() throws InterruptedException
     {
-        box.submit(JobScope.of(QUEUE), ID, JOB, in(1_000));
+        box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(1_000));
         assertThat(written).containsExactly(ID);
         store.setDown(true);
-        codeOf(() -> box.submit(JobScope.of(QUEUE), OTHER_ID, JOB, in(1_000)));
+        codeOf(() -> box.submit(JobScope.of(QUEUE), OTHER_ID, JOB, deadlineIn(1_000)));
         assertThat(written).containsExactly(ID);
     }
 
     @Test
-    void theSameIdAtTwoBoxesIsOneJob() throws InterruptedException
+    void sameIdOnTwoBoxesCreatesOneJob() throws InterruptedException
     {
-        box.submit(JobScope.of(QUEUE), ID, JOB, in(1_000));
-        otherBox.submit(JobScope.of(QUEUE), ID, JOB, in(1_000));
+        box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(1_000));
+        otherBox.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(1_000));
         assertThat(store.list(JobKeys.JOBS).values()).hasSize(1);
         assertThat(store.get(JobKeys.job(ID)).orElseThrow().modRevision()).isEqualTo(2);
     }
 
     @Test
-    void theIdOfAJobThatIsOverStaysTaken() throws InterruptedException
+    void idOfEndedJobCannotBeReused() throws InterruptedException
     {
-        box.submit(JobScope.of(QUEUE), ID, JOB, in(1_000));
-        JobRecord over = JobCodec.readRecord(store.get(JobKeys.job(ID)).orElseThrow().value()).toTombstone();
-        store.commit(new StoreTransaction().put(JobKeys.job(ID), JobCodec.writeRecord(over)).put(
+        box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(1_000));
+        JobRecord tombstone = JobCodec.readRecord(store.get(JobKeys.job(ID)).orElseThrow().value())
+                .toTombstone();
+        store.commit(new StoreTransaction().put(JobKeys.job(ID), JobCodec.writeRecord(tombstone)).put(
                 JobKeys.progress(ID),
                 JobCodec.writeProgress(new JobProgress(QUEUE.name(), JobState.COMPLETED, null))));
-        otherBox.submit(JobScope.of(QUEUE), ID, JOB, in(1_000));
+        otherBox.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(1_000));
         assertThat(JobCodec.readRecord(store.get(JobKeys.job(ID)).orElseThrow().value()).hasEnded()).isTrue();
         assertThat(otherBox.state(JobScope.of(QUEUE), ID)).isEqualTo(JobState.COMPLETED);
-        otherBox.cancel(JobScope.of(QUEUE), ID, in(1_000));
+        otherBox.cancel(JobScope.of(QUEUE), ID, deadlineIn(1_000));
         assertThat(otherBox.state(JobScope.of(QUEUE), ID)).isEqualTo(JobState.COMPLETED);
         assertThat(codeOf(() -> box.state(JobScope.of(OTHER_QUEUE), ID))).isEqualTo(ResultCode.UNKNOWN_JOB);
     }
 
     @Test
-    void aLostAnswerIsSettledBySendingTheSameWriteAgain() throws InterruptedException
+    void lostAnswerIsResolvedByRetryingTheWrite() throws InterruptedException
     {
         store.loseAnswers(1);
-        box.submit(JobScope.of(QUEUE), ID, JOB, in(1_000));
+        box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(1_000));
         assertThat(box.state(JobScope.of(QUEUE), ID)).isEqualTo(JobState.QUEUED);
     }
 
     @Test
-    void anOutcomeThatStaysUnknownIsNeverToldAsNotRun()
+    void unknownOutcomeIsNotReportedAsNotRun()
     {
         store.loseAnswers(1_000);
-        assertThat(codeOf(() -> box.submit(JobScope.of(QUEUE), ID, JOB, in(400))))
+        assertThat(codeOf(() -> box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(400))))
                 .isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
         assertThat(ResultCode.STORE_OUTCOME_UNKNOWN.httpStatus()).isEqualTo(504);
     }
 
     @Test
-    void aWriteIsGivenUpAsUnknownOnceTheStoreIsKnownToBeSilent()
+    void retriesEndWithUnknownOutcomeOnceStoreIsUnresponsive()
     {
         store.loseAnswers(1_000);
-        long begin = SteadyClock.nanos();
-        assertThat(codeOf(() -> box.submit(JobScope.of(QUEUE), ID, JOB, in(10_000))))
+        long startNanos = SteadyClock.nanos();
+        assertThat(codeOf(() -> box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(10_000))))
                 .isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
-        assertThat(SteadyClock.nanos() - begin).isLessThan(TimeUnit.MILLISECONDS.toNanos(3_000));
+        assertThat(SteadyClock.nanos() - startNanos).isLessThan(TimeUnit.MILLISECONDS.toNanos(3_000));
     }
 
     @Test
-    void aStoreThatIsDownRefusesAtOnceAndSaysWhenToComeBack()
+    void submissionFailsAtOnceWithRetryAfterWhileStoreIsDown()
     {
         store.setDown(true);
-        long begin = SteadyClock.nanos();
-        assertThat(codeOf(() -> box.submit(JobScope.of(QUEUE), ID, JOB, in(3_000))))
+        long startNanos = SteadyClock.nanos();
+        assertThat(codeOf(() -> box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(3_000))))
                 .isEqualTo(ResultCode.STORE_UNAVAILABLE);
-        assertThat(SteadyClock.nanos() - begin).isLessThan(TimeUnit.MILLISECONDS.toNanos(1_000));
+        assertThat(SteadyClock.nanos() - startNanos).isLessThan(TimeUnit.MILLISECONDS.toNanos(1_000));
         assertThat(ResultCode.STORE_UNAVAILABLE.retryAfterMillis()).isGreaterThan(0);
     }
 
     @Test
-    void aJobOfAnotherQueueIsNotKnownHere() throws InterruptedException
+    void jobOfAnotherQueueIsUnknown() throws InterruptedException
     {
-        box.submit(JobScope.of(QUEUE), ID, JOB, in(1_000));
+        box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(1_000));
         assertThat(codeOf(() -> box.state(JobScope.of(OTHER_QUEUE), ID))).isEqualTo(ResultCode.UNKNOWN_JOB);
-        assertThat(codeOf(() -> box.cancel(JobScope.of(OTHER_QUEUE), ID, in(1_000))))
+        assertThat(codeOf(() -> box.cancel(JobScope.of(OTHER_QUEUE), ID, deadlineIn(1_000))))
                 .isEqualTo(ResultCode.UNKNOWN_JOB);
     }
 
     @Test
-    void aCancelledJobIsShownSoUnlessItWasOverBefore() throws InterruptedException
+    void cancelledJobIsReportedAsCancelledUnlessItHadEnded() throws InterruptedException
     {
-        box.submit(JobScope.of(QUEUE), ID, JOB, in(1_000));
-        box.cancel(JobScope.of(QUEUE), ID, in(1_000));
+        box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(1_000));
+        box.cancel(JobScope.of(QUEUE), ID, deadlineIn(1_000));
         assertThat(otherBox.state(JobScope.of(QUEUE), ID)).isEqualTo(JobState.CANCELLED);
         store.commit(new StoreTransaction().put(JobKeys.progress(ID),
                 Json.write(new JobProgress(QUEUE.name(), JobState.COMPLETED, null))));
@@ -192,32 +193,32 @@
     }
 
     @Test
-    void aStoreKnownToBeSilentIsNotAskedUntilItAnswersAgain() throws InterruptedException
+    void unresponsiveStoreIsNotCalledUntilItAnswersAgain() throws InterruptedException
     {
         AtomicLong clock = new AtomicLong();
         MonitoredStore monitored = new MonitoredStore(store, events, clock::get);
-        JobIntake intake = new JobIntake(monitored, notices, events, metrics);
+        JobIntake intake = new JobIntake(monitored, listener, events, metrics);
         clock.addAndGet(TimeUnit.SECONDS.toNanos(1));
         store.setDown(true);
         for (int i = 0; i < 2; i++)
         {
-            assertThat(codeOf(() -> intake.submit(JobScope.of(QUEUE), ID, JOB, in(1_000))))
+            assertThat(codeOf(() -> intake.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(1_000))))
                     .isEqualTo(ResultCode.STORE_UNAVAILABLE);
         }
         assertThat(monitored.isUnresponsive()).isTrue();
         store.setDown(false);
-        assertThat(codeOf(() -> intake.submit(JobScope.of(QUEUE), ID, JOB, in(1_000))))
+        assertThat(codeOf(() -> intake.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(1_000))))
                 .isEqualTo(ResultCode.STORE_UNAVAILABLE);
         assertThat(store.commits()).isEqualTo(0);
         monitored.get("any");
-        intake.submit(JobScope.of(QUEUE), ID, JOB, in(1_000));
+        intake.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(1_000));
         assertThat(store.commits()).isEqualTo(1);
     }
 
     @Test
-    void callsAreCountedByTheirResult() throws InterruptedException
+    void callsAreCountedByResultCode() throws InterruptedException
     {
-        box.submit(JobScope.of(QUEUE), ID, JOB, in(1_000));
+        box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(1_000));
         assertThat(codeOf(() -> box.state(JobScope.of(OTHER_QUEUE), ID))).isEqualTo(ResultCode.UNKNOWN_JOB);
         String scraped = new String(metrics.scrape(), StandardCharsets.UTF_8);
         assertThat(scraped).contains("gaugehollow_job_calls_total{call=\"submit\",code=\"OK\"} 1.0");
@@ -226,15 +227,15 @@
     }
 
     @Test
-    void aStateThatCannotBeReadIsNotGuessed() throws InterruptedException
+    void stateFailsWhileStoreIsDown() throws InterruptedException
     {
-        box.submit(JobScope.of(QUEUE), ID, JOB, in(1_000));
+        box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(1_000));
         store.setDown(true);
         assertThat(codeOf(() -> box.state(JobScope.of(QUEUE), ID))).isEqualTo(ResultCode.STORE_UNAVAILABLE);
     }
 
     @Test
-    void waitingJobsAreNotCountedWhileNoOwnerDoes() throws InterruptedException
+    void pendingCountIsUnknownWithoutOwner() throws InterruptedException
     {
         assertThat(codeOf(() -> box.pending(QUEUE))).isEqualTo(ResultCode.COUNT_UNKNOWN);
         store.commit(new StoreTransaction().put(JobKeys.SUMMARY, Json.write(Map.of("urgent", 3))));
@@ -247,13 +248,13 @@
      * answer, was carried out after that: the job ran.
      */
     @Test
-    void aCancellationThatFindsNoJobHoldsBackARecordThatIsWrittenLate() throws InterruptedException
+    void cancellationOfMissingJobAppliesToDelayedSubmission() throws InterruptedException
     {
         store.holdWrites(3, 100);
-        assertThat(codeOf(() -> box.submit(JobScope.of(QUEUE), ID, JOB, in(200))))
+        assertThat(codeOf(() -> box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(200))))
                 .isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
         store.holdWrites(0, 0);
-        assertThat(codeOf(() -> otherBox.cancel(JobScope.of(QUEUE), ID, in(1_000))))
+        assertThat(codeOf(() -> otherBox.cancel(JobScope.of(QUEUE), ID, deadlineIn(1_000))))
                 .isEqualTo(ResultCode.UNKNOWN_JOB);
         store.deliverHeldWrites();
         assertThat(store.get(JobKeys.job(ID))).isPresent();
@@ -261,28 +262,28 @@
     }
 
     @Test
-    void aCancellationInOneQueueLeavesAJobOfTheSameIdInAnother() throws InterruptedException
+    void cancellationDoesNotAffectSameIdInAnotherQueue() throws InterruptedException
     {
-        assertThat(codeOf(() -> box.cancel(JobScope.of(OTHER_QUEUE), ID, in(1_000))))
+        assertThat(codeOf(() -> box.cancel(JobScope.of(OTHER_QUEUE), ID, deadlineIn(1_000))))
                 .isEqualTo(ResultCode.UNKNOWN_JOB);
-        box.submit(JobScope.of(QUEUE), ID, JOB, in(1_000));
+        box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(1_000));
         assertThat(box.state(JobScope.of(QUEUE), ID)).isEqualTo(JobState.QUEUED);
-        assertThat(codeOf(() -> box.cancel(JobScope.of(OTHER_QUEUE), ID, in(1_000))))
+        assertThat(codeOf(() -> box.cancel(JobScope.of(OTHER_QUEUE), ID, deadlineIn(1_000))))
                 .isEqualTo(ResultCode.UNKNOWN_JOB);
         assertThat(box.state(JobScope.of(QUEUE), ID)).isEqualTo(JobState.QUEUED);
     }
 
     @Test
-    void theOwnerIsToldOfCancellations() throws InterruptedException
+    void listenerIsNotifiedOfCancellations() throws InterruptedException
     {
-        box.submit(JobScope.of(QUEUE), ID, JOB, in(1_000));
-        box.cancel(JobScope.of(QUEUE), ID, in(1_000));
+        box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(1_000));
+        box.cancel(JobScope.of(QUEUE), ID, deadlineIn(1_000));
         assertThat(cancelled).containsExactly(ID);
     }
 
     /** Each call to the store is paid for, and a slow one holds up the caller. */
     @Test
-    void aCancellationReadsTheRecordOnce() throws InterruptedException
+    void cancellationListsTheRecordOnce() throws InterruptedException
     {
         AtomicInteger listings = new AtomicInteger();
         FakeStore counting = new FakeStore()
@@ -294,11 +295,11 @@
                 return super.list(prefix);
             }
         };
-        JobIntake intake = new JobIntake(new MonitoredStore(counting, events, SteadyClock::nanos), notices,
+        JobIntake intake = new JobIntake(new MonitoredStore(counting, events, SteadyClock::nanos), listener,
                 events, metrics);
-        intake.submit(JobScope.of(QUEUE), ID, JOB, in(1_000));
+        intake.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(1_000));
         listings.set(0);
-        intake.cancel(JobScope.of(QUEUE), ID, in(1_000));
+        intake.cancel(JobScope.of(QUEUE), ID, deadlineIn(1_000));
         assertThat(listings.get()).isEqualTo(1);
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/box/NoNotices.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/NoOpJobListener.java
@@ -5,7 +5,7 @@
 package org.gaugehollow.box;
 
 /** Tells nobody. */
-final class NoNotices implements JobListener
+final class NoOpJobListener implements JobListener
 {
     @Override
     public void onJobWritten(String job)
--- a/gaugehollow/src/test/java/org/gaugehollow/box/OutcomeOverBoxesTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/OutcomeAcrossBoxesTest.java
@@ -45,7 +45,7 @@
  * What is said of a request that was tried more than once: by one box over its peers, or by a
  * caller at one box after the other.
  */
-class OutcomeOverBoxesTest
+class OutcomeAcrossBoxesTest
 {
     private static final String ID = "00000000000000aa";
     private static final QueueSpec QUEUE = new QueueSpec("urgent", "service", 0, 2, 250, 1.5, null);
@@ -58,59 +58,59 @@
     private final FakeStore store = new FakeStore();
 
     /** One box's way to the store: writes stay open and may be done later, or all calls are refused. */
-    private final class Way extends FakeStore
+    private final class UnansweredStore extends FakeStore
     {
-        private final List<StoreTransaction> open = new ArrayList<>();
-        private boolean refusing;
-        private int sent;
+        private final List<StoreTransaction> unansweredWrites = new ArrayList<>();
+        private boolean rejecting;
+        private int calls;
 
-        private void sent()
+        private void countCall()
         {
-            if (refusing)
+            if (rejecting)
             {
                 throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "the store answered 503");
             }
-            sent++;
+            calls++;
         }
 
         @Override
         public synchronized Optional<StoredValue> get(String key)
         {
-            sent();
+            countCall();
             return store.get(key);
         }
 
         @Override
         public synchronized StoreListing list(String prefix)
         {
-            sent();
+            countCall();
             return store.list(prefix);
         }
 
         @Override
         public synchronized Optional<Long> commit(StoreTransaction transaction)
         {
-            sent();
-            open.add(transaction);
+            countCall();
+            unansweredWrites.add(transaction);
             throw new GaugehollowException(ResultCode.STORE_OUTCOME_UNKNOWN, "no answer in time");
         }
 
-        void carryOutLate() throws InterruptedException
+        void applyUnansweredWrites() throws InterruptedException
         {
-            for (StoreTransaction transaction : open)
+            for (StoreTransaction transaction : unansweredWrites)
             {
                 store.commit(transaction);
             }
         }
     }
 
-    private JobIntake intake(FakeStore way)
+    private JobIntake intake(FakeStore boxStore)
     {
-        return new JobIntake(new MonitoredStore(way, events, SteadyClock::nanos), new NoNotices(), events,
-                new Metrics());
+        return new JobIntake(new MonitoredStore(boxStore, events, SteadyClock::nanos), new NoOpJobListener(),
+                events, new Metrics());
     }
 
-    private static long in(long millis)
+    private static long deadlineIn(long millis)
     {
         return SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(millis);
     }
@@ -131,49 +131,49 @@
      * open is done later all the same, and no request says that there was an earlier try.
      */
     @Test
-    void aBoxThatTheStoreRefusesKnowsNothingOfAWriteThatAnotherBoxLeftOpen() throws InterruptedException
+    void rejectionAtOneBoxDoesNotCoverUnansweredWriteOfAnother() throws InterruptedException
     {
-        Way first = new Way();
-        Way second = new Way();
-        second.refusing = true;
-        assertThat(codeOf(() -> intake(first).submit(JobScope.of(QUEUE), ID, JOB, in(400))))
+        UnansweredStore first = new UnansweredStore();
+        UnansweredStore second = new UnansweredStore();
+        second.rejecting = true;
+        assertThat(codeOf(() -> intake(first).submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(400))))
                 .isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
-        assertThat(codeOf(() -> intake(second).submit(JobScope.of(QUEUE), ID, JOB, in(400))))
+        assertThat(codeOf(() -> intake(second).submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(400))))
                 .isEqualTo(ResultCode.STORE_UNAVAILABLE);
-        assertThat(second.sent).isEqualTo(0);
+        assertThat(second.calls).isEqualTo(0);
         assertThat(store.list(JobKeys.JOBS).values()).isEmpty();
-        first.carryOutLate();
+        first.applyUnansweredWrites();
         assertThat(store.list(JobKeys.JOBS).values()).hasSize(1);
         assertThat(intake(store).state(JobScope.of(QUEUE), ID)).isEqualTo(JobState.QUEUED);
     }
 
     /** A cancellation left open by one box is done later, whatever another box said in between. */
     @Test
-    void aCancellationLeftOpenByOneBoxIsDoneAfterAnotherBoxWasRefused() throws InterruptedException
+    void unansweredCancellationTakesEffectAfterRejectionAtAnotherBox() throws InterruptedException
     {
-        intake(store).submit(JobScope.of(QUEUE), ID, JOB, in(400));
-        Way first = new Way();
-        Way second = new Way();
-        second.refusing = true;
-        assertThat(codeOf(() -> intake(first).cancel(JobScope.of(QUEUE), ID, in(400))))
+        intake(store).submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(400));
+        UnansweredStore first = new UnansweredStore();
+        UnansweredStore second = new UnansweredStore();
+        second.rejecting = true;
+        assertThat(codeOf(() -> intake(first).cancel(JobScope.of(QUEUE), ID, deadlineIn(400))))
                 .isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
-        assertThat(codeOf(() -> intake(second).cancel(JobScope.of(QUEUE), ID, in(400))))
+        assertThat(codeOf(() -> intake(second).cancel(JobScope.of(QUEUE), ID, deadlineIn(400))))
                 .isEqualTo(ResultCode.STORE_UNAVAILABLE);
-        first.carryOutLate();
+        first.applyUnansweredWrites();
         assertThat(intake(store).state(JobScope.of(QUEUE), ID)).isEqualTo(JobState.CANCELLED);
     }
 
-    private static List<ResultCode> refusals(Outcome outcome)
+    private static List<ResultCode> failureCodes(Outcome outcome)
     {
         return Arrays.stream(ResultCode.values()).filter(code -> code.outcome() == outcome).toList();
     }
 
-    private static List<ResultCode> refusals()
+    private static List<ResultCode> failureCodes()
     {
         return Arrays.stream(ResultCode.values()).filter(code -> code.outcome() != Outcome.ANSWERED).toList();
     }
 
-    private static CallerService refusing(ResultCode code)
+    private static CallerService rejecting(ResultCode code)
     {
         return request ->
         {
@@ -184,16 +184,16 @@
     /** A relay whose peers refuse with these codes, in this order, whichever is asked first. */
     private CallerRelay relay(ResultCode own, ResultCode... peerCodes)
     {
-        AtomicInteger asked = new AtomicInteger();
+        AtomicInteger nextPeer = new AtomicInteger();
         Map<String, CallerRelay.Peer> peers = new LinkedHashMap<>();
         for (int i = 0; i < peerCodes.length; i++)
         {
             peers.put("peer-" + i, request ->
             {
-                throw new GaugehollowException(peerCodes[asked.getAndIncrement()], "peer");
+                throw new GaugehollowException(peerCodes[nextPeer.getAndIncrement()], "peer");
             });
         }
-        return new CallerRelay(refusing(own), () -> peers, events, SteadyClock::nanos);
+        return new CallerRelay(rejecting(own), () -> peers, events, SteadyClock::nanos);
     }
 
     private static Outcome outcome(CallerRelay relay)
@@ -202,9 +202,9 @@
     }
 
     @Test
-    void aWriteOfThisBoxThatIsOpenIsNotSettledByWhatAPeerSays()
+    void peerFailureDoesNotSettleUnansweredLocalWrite()
     {
-        for (ResultCode peer : refusals())
+        for (ResultCode peer : failureCodes())
         {
             assertWithMessage(peer.name()).that(outcome(relay(ResultCode.STORE_OUTCOME_UNKNOWN, peer)))
                     .isEqualTo(Outcome.UNKNOWN);
@@ -212,11 +212,11 @@
     }
 
     @Test
-    void aRequestThatOnePeerMayHaveRunIsNotSettledByWhatTheNextOneSays()
+    void nextPeerDoesNotSettleUnknownOutcomeOfFirstPeer()
     {
-        for (ResultCode lost : refusals(Outcome.UNKNOWN))
+        for (ResultCode lost : failureCodes(Outcome.UNKNOWN))
         {
-            for (ResultCode next : refusals())
+            for (ResultCode next : failureCodes())
             {
                 assertWithMessage(lost + ", then " + next)
                         .that(outcome(relay(ResultCode.STORE_UNAVAILABLE, lost, next)))
@@ -226,11 +226,11 @@
     }
 
     @Test
-    void anOpenOutcomeOfThisBoxStaysOpenWhateverItsCode()
+    void unknownLocalOutcomeStaysUnknownForAnyCode()
     {
-        for (ResultCode own : refusals(Outcome.UNKNOWN))
+        for (ResultCode own : failureCodes(Outcome.UNKNOWN))
         {
-            for (ResultCode peer : refusals())
+            for (ResultCode peer : failureCodes())
             {
                 assertWithMessage(own + ", then " + peer).that(outcome(relay(own, peer)))
                         .isEqualTo(Outcome.UNKNOWN);
@@ -244,9 +244,9 @@
      * nothing was run.
      */
     @Test
-    void anOpenOutcomeStaysOpenWherePeersCannotBeFound()
+    void outcomeStaysUnknownWhenPeersCannotBeFound()
     {
-        CallerRelay relay = new CallerRelay(refusing(ResultCode.STORE_OUTCOME_UNKNOWN), () ->
+        CallerRelay relay = new CallerRelay(rejecting(ResultCode.STORE_OUTCOME_UNKNOWN), () ->
         {
             throw new GaugehollowException(ResultCode.RESOURCE_INVALID, "not an address");
         }, events, SteadyClock::nanos);
@@ -254,9 +254,9 @@
     }
 
     @Test
-    void whereNoTryMayHaveRunTheRequestWasNotRun()
+    void requestIsNotRunWhenNoAttemptMayHaveRun()
     {
-        for (ResultCode peer : refusals(Outcome.NOT_RUN))
+        for (ResultCode peer : failureCodes(Outcome.NOT_RUN))
         {
             assertWithMessage(peer.name()).that(outcome(relay(ResultCode.STORE_UNAVAILABLE, peer)))
                     .isEqualTo(Outcome.NOT_RUN);
--- a/gaugehollow/src/test/java/org/gaugehollow/box/PeerEndTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/PeerFailureTest.java
@@ -38,29 +38,29 @@
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 
 /** What is said of a request whose peer ends, before and after it sent the write. */
-class PeerEndTest
+class PeerFailureTest
 {
     private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
     private static final StoreTransaction WRITE = new StoreTransaction().require("job", 0).put("job",
             new byte[]{1});
-    private static final long LONGEST_SECONDS = 5;
+    private static final long MAX_WAIT_SECONDS = 5;
 
     private final NetLoops loops = new NetLoops(Optional.empty());
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
     private final FakeStore store = new FakeStore();
     private final CountDownLatch reached = new CountDownLatch(1);
-    private final CountDownLatch goOn = new CountDownLatch(1);
+    private final CountDownLatch resume = new CountDownLatch(1);
 
     @AfterEach
-    void end()
+    void close()
     {
-        goOn.countDown();
+        resume.countDown();
         loops.close();
     }
 
     private PeerServer peer(CallerService service)
     {
-        return new PeerServer(loops, ANY_PORT, events, call -> RelayPeer.handle(call.getRelay(), service));
+        return new PeerServer(loops, ANY_PORT, events, call -> PeerRelay.handle(call.getRelay(), service));
     }
 
     private PeerLink link(InetSocketAddress target)
@@ -69,12 +69,12 @@
     }
 
     /** The code for a request that the store refuses here and that goes to one peer. */
-    private ResultCode codeOver(PeerLink link)
+    private ResultCode relayFailureCode(PeerLink link)
     {
         CallerRelay relay = new CallerRelay(request ->
         {
             throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "own");
-        }, () -> Map.of("peer", new RelayPeer(link)), events, SteadyClock::nanos);
+        }, () -> Map.of("peer", new PeerRelay(link)), events, SteadyClock::nanos);
         HttpMessage request = new HttpMessage("POST", "/queue/job", "", new DefaultHttpHeaders(),
                 new byte[0]);
         return assertThrows(GaugehollowException.class, () -> relay.answer(request)).code();
@@ -88,16 +88,16 @@
 
     private void await(CountDownLatch latch) throws InterruptedException
     {
-        assertThat(latch.await(LONGEST_SECONDS, TimeUnit.SECONDS)).isTrue();
+        assertThat(latch.await(MAX_WAIT_SECONDS, TimeUnit.SECONDS)).isTrue();
     }
 
     /** Runs beside a call, once the peer has reached a certain point. */
-    private interface Meanwhile
+    private interface Action
     {
         void run() throws InterruptedException;
     }
 
-    private Thread onceReached(Meanwhile action)
+    private Thread startWhenReached(Action action)
     {
         return Thread.ofVirtual().start(() ->
         {
@@ -114,93 +114,93 @@
     }
 
     @Test
-    void aPeerThatEndsAfterItsWriteLeavesTheOutcomeOpen() throws InterruptedException
+    void peerStoppedAfterWriteLeavesOutcomeUnknown() throws InterruptedException
     {
         CallerService service = request ->
         {
             HttpReply reply = write();
             reached.countDown();
-            await(goOn);
+            await(resume);
             return reply;
         };
         try (PeerServer peer = peer(service); PeerLink link = link(peer.address()))
         {
-            Thread end = onceReached(peer::close);
-            assertThat(codeOver(link)).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
-            end.join();
+            Thread closing = startWhenReached(peer::close);
+            assertThat(relayFailureCode(link)).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
+            closing.join();
             assertThat(store.commits()).isEqualTo(1);
         }
     }
 
     @Test
-    void aPeerThatIsCutOffBeforeItsWriteLeavesTheOutcomeOpenAndMayStillWrite() throws Exception
+    void peerDisconnectedBeforeWriteLeavesOutcomeUnknown() throws Exception
     {
         CountDownLatch written = new CountDownLatch(1);
         CallerService service = request ->
         {
             reached.countDown();
-            await(goOn);
+            await(resume);
             HttpReply reply = write();
             written.countDown();
             return reply;
         };
         try (PeerServer peer = peer(service); PeerLink link = link(peer.address()))
         {
-            Thread end = onceReached(peer::close);
-            assertThat(codeOver(link)).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
-            end.join();
+            Thread closing = startWhenReached(peer::close);
+            assertThat(relayFailureCode(link)).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
+            closing.join();
             assertThat(store.commits()).isEqualTo(0);
-            goOn.countDown();
+            resume.countDown();
             await(written);
             assertThat(store.commits()).isEqualTo(1);
         }
     }
 
     @Test
-    void aLinkThatIsClosedDuringTheCallLeavesTheOutcomeOpen() throws InterruptedException
+    void linkClosedDuringCallLeavesOutcomeUnknown() throws InterruptedException
     {
         CallerService service = request ->
         {
             reached.countDown();
-            await(goOn);
+            await(resume);
             return write();
         };
         try (PeerServer peer = peer(service); PeerLink link = link(peer.address()))
         {
-            Thread end = onceReached(link::close);
-            assertThat(codeOver(link)).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
-            end.join();
+            Thread closing = startWhenReached(link::close);
+            assertThat(relayFailureCode(link)).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
+            closing.join();
         }
     }
 
     @Test
-    void aLinkThatIsClosedBeforeTheCallSendsNothing()
+    void linkClosedBeforeCallSendsNothing()
     {
         try (PeerServer peer = peer(request -> write()))
         {
             PeerLink link = link(peer.address());
             link.close();
-            assertThat(codeOver(link)).isEqualTo(ResultCode.STORE_UNAVAILABLE);
+            assertThat(relayFailureCode(link)).isEqualTo(ResultCode.STORE_UNAVAILABLE);
             assertThat(store.commits()).isEqualTo(0);
         }
     }
 
     @Test
-    void aPeerThatDoesNotAnswerInTimeLeavesTheOutcomeOpen() throws InterruptedException
+    void peerTimeoutLeavesOutcomeUnknown() throws InterruptedException
     {
         CallerService service = request ->
         {
-            await(goOn);
+            await(resume);
             return write();
         };
         try (PeerServer peer = peer(service); PeerLink link = link(peer.address()))
         {
-            assertThat(codeOver(link)).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
+            assertThat(relayFailureCode(link)).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
         }
     }
 
     @Test
-    void aFaultInsideThePeerAfterItsWriteLeavesTheOutcomeOpen()
+    void peerExceptionAfterWriteLeavesOutcomeUnknown()
     {
         CallerService service = request ->
         {
@@ -209,13 +209,13 @@
         };
         try (PeerServer peer = peer(service); PeerLink link = link(peer.address()))
         {
-            assertThat(codeOver(link).outcome()).isEqualTo(Outcome.UNKNOWN);
+            assertThat(relayFailureCode(link).outcome()).isEqualTo(Outcome.UNKNOWN);
             assertThat(store.commits()).isEqualTo(1);
         }
     }
 
     @Test
-    void anErrorInsideThePeerAfterItsWriteLeavesTheOutcomeOpen()
+    void peerErrorAfterWriteLeavesOutcomeUnknown()
     {
         CallerService service = request ->
         {
@@ -224,13 +224,13 @@
         };
         try (PeerServer peer = peer(service); PeerLink link = link(peer.address()))
         {
-            assertThat(codeOver(link).outcome()).isEqualTo(Outcome.UNKNOWN);
+            assertThat(relayFailureCode(link).outcome()).isEqualTo(Outcome.UNKNOWN);
             assertThat(store.commits()).isEqualTo(1);
         }
     }
 
     @Test
-    void aPeerThatIsInterruptedLeavesTheOutcomeOpen()
+    void interruptedPeerLeavesOutcomeUnknown()
     {
         CallerService service = request ->
         {
@@ -239,12 +239,12 @@
         };
         try (PeerServer peer = peer(service); PeerLink link = link(peer.address()))
         {
-            assertThat(codeOver(link)).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
+            assertThat(relayFailureCode(link)).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
         }
     }
 
     @Test
-    void aPeerThatNobodyListensForWasSurelyNotReached() throws IOException
+    void refusedConnectionMeansRequestWasNotSent() throws IOException
     {
         int port;
         try (ServerSocket unused = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1")))
@@ -253,27 +253,27 @@
         }
         try (PeerLink link = link(new InetSocketAddress("127.0.0.1", port)))
         {
-            assertThat(codeOver(link)).isEqualTo(ResultCode.STORE_UNAVAILABLE);
+            assertThat(relayFailureCode(link)).isEqualTo(ResultCode.STORE_UNAVAILABLE);
         }
     }
 
     @Test
-    void aPeerThatTakesTheConnectionAndEndsLeavesTheOutcomeOpen() throws IOException
+    void connectionClosedAfterSendLeavesOutcomeUnknown() throws IOException
     {
         try (ServerSocket ending = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
                 PeerLink link = link((InetSocketAddress) ending.getLocalSocketAddress()))
         {
-            Thread.ofVirtual().start(() -> takeAndEnd(ending));
-            assertThat(codeOver(link)).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
+            Thread.ofVirtual().start(() -> acceptAndClose(ending));
+            assertThat(relayFailureCode(link)).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
         }
     }
 
-    private static void takeAndEnd(ServerSocket listener)
+    private static void acceptAndClose(ServerSocket listener)
     {
-        try (Socket taken = listener.accept())
+        try (Socket socket = listener.accept())
         {
             // a byte of the call has come, so the link has begun to send
-            assertThat(taken.getInputStream().read()).isAtLeast(0);
+            assertThat(socket.getInputStream().read()).isAtLeast(0);
         }
         catch (IOException e)
         {
@@ -283,7 +283,7 @@
 
     /** A link that was used before finds that its peer has ended, and nobody listens any more. */
     @Test
-    void aPeerThatEndedBetweenCallsDidNothing()
+    void peerStoppedBetweenCallsHandlesNothing()
     {
         AtomicInteger handled = new AtomicInteger();
         CallerService service = request ->
@@ -294,31 +294,31 @@
         PeerServer peer = peer(service);
         try (PeerLink link = link(peer.address()))
         {
-            assertThat(codeOver(link)).isEqualTo(ResultCode.UNKNOWN_QUEUE);
+            assertThat(relayFailureCode(link)).isEqualTo(ResultCode.UNKNOWN_QUEUE);
             peer.close();
-            ResultCode code = codeOver(link);
+            ResultCode code = relayFailureCode(link);
             assertThat(code).isAnyOf(ResultCode.STORE_UNAVAILABLE, ResultCode.STORE_OUTCOME_UNKNOWN);
             assertThat(handled.get()).isEqualTo(1);
         }
     }
 
     @Test
-    void closedEventLoopsLeaveACallThatIsUnderWayOpen() throws InterruptedException
+    void closedEventLoopsLeaveOutcomeOfPendingCallUnknown() throws InterruptedException
     {
-        NetLoops own = new NetLoops(Optional.empty());
+        NetLoops callerLoops = new NetLoops(Optional.empty());
         CallerService service = request ->
         {
             HttpReply reply = write();
             reached.countDown();
-            await(goOn);
+            await(resume);
             return reply;
         };
         try (PeerServer peer = peer(service);
-                PeerLink link = new PeerLink(own, peer.address(), events, new Metrics()))
+                PeerLink link = new PeerLink(callerLoops, peer.address(), events, new Metrics()))
         {
-            Thread end = onceReached(own::close);
-            assertThat(codeOver(link).outcome()).isEqualTo(Outcome.UNKNOWN);
-            end.join();
+            Thread closing = startWhenReached(callerLoops::close);
+            assertThat(relayFailureCode(link).outcome()).isEqualTo(Outcome.UNKNOWN);
+            closing.join();
         }
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/box/RefusedWriteTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/RejectedWriteTest.java
@@ -34,16 +34,16 @@
  * later "TASK_STARTED". On three days of lost answers and boxes turned away, 230 tasks were started
  * after such a refusal.
  */
-class RefusedWriteTest
+class RejectedWriteTest
 {
     private static final String ID = "00000000000000aa";
     private static final QueueSpec QUEUE = new QueueSpec("urgent", "service", 0, 2, 250, 1.5, null);
     private static final JobSpec JOB = new JobSpec("text", List.of(new StepSpec(1, 1, 1, 0, 1, List.of(),
             false, false, false, null, null, 0, false, false, null, 0, false, 0)), 0, 0, 0);
     /** How long a box waits for an answer of the store. */
-    private static final int ANSWER_MILLIS = 900;
+    private static final int STORE_TIMEOUT_MILLIS = 900;
     /** Before the second try, which goes out after 350 ms. */
-    private static final int TURNED_AWAY_MILLIS = 200;
+    private static final int REJECT_AFTER_MILLIS = 200;
 
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
     private final FakeStore store = new FakeStore();
@@ -51,19 +51,19 @@
     private final JobIntake otherBox = intake();
     private JobIntake intake()
     {
-        return new JobIntake(new MonitoredStore(store, events, SteadyClock::nanos), new NoNotices(), events,
-                new Metrics());
+        return new JobIntake(new MonitoredStore(store, events, SteadyClock::nanos), new NoOpJobListener(),
+                events, new Metrics());
     }
 
     /** The next write gets no answer; those that come after a moment are turned away. */
-    private void holdTheFirstTryAndTurnTheNextOnesAway()
+    private void holdFirstWriteAndRejectLaterOnes()
     {
-        store.holdWrites(1, ANSWER_MILLIS);
+        store.holdWrites(1, STORE_TIMEOUT_MILLIS);
         Thread.ofVirtual().start(() ->
         {
             try
             {
-                Thread.sleep(TURNED_AWAY_MILLIS);
+                Thread.sleep(REJECT_AFTER_MILLIS);
                 store.setDown(true);
             }
             catch (InterruptedException e)
@@ -73,45 +73,45 @@
         });
     }
 
-    private static long in(long millis)
+    private static long deadlineIn(long millis)
     {
         return SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(millis);
     }
 
     @Test
-    void aJobWhoseFirstWriteIsOnTheWayIsNotToldAsNotRun() throws InterruptedException
+    void submissionWithPendingFirstWriteHasUnknownOutcome() throws InterruptedException
     {
-        holdTheFirstTryAndTurnTheNextOnesAway();
-        GaugehollowException refusal = assertThrows(GaugehollowException.class,
-                () -> box.submit(JobScope.of(QUEUE), ID, JOB, in(3_000)));
+        holdFirstWriteAndRejectLaterOnes();
+        GaugehollowException failure = assertThrows(GaugehollowException.class,
+                () -> box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(3_000)));
         store.setDown(false);
         store.deliverHeldWrites();
         assertThat(otherBox.state(JobScope.of(QUEUE), ID)).isEqualTo(JobState.QUEUED);
-        assertThat(refusal.code()).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
+        assertThat(failure.code()).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
     }
 
     @Test
-    void aCancellationWhoseFirstWriteIsOnTheWayIsNotToldAsNotDone() throws InterruptedException
+    void cancellationWithPendingFirstWriteHasUnknownOutcome() throws InterruptedException
     {
-        box.submit(JobScope.of(QUEUE), ID, JOB, in(3_000));
-        holdTheFirstTryAndTurnTheNextOnesAway();
-        GaugehollowException refusal = assertThrows(GaugehollowException.class,
-                () -> box.cancel(JobScope.of(QUEUE), ID, in(3_000)));
+        box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(3_000));
+        holdFirstWriteAndRejectLaterOnes();
+        GaugehollowException failure = assertThrows(GaugehollowException.class,
+                () -> box.cancel(JobScope.of(QUEUE), ID, deadlineIn(3_000)));
         store.setDown(false);
         store.deliverHeldWrites();
         assertThat(store.get(JobKeys.cancel(ID))).isPresent();
-        assertThat(refusal.code()).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
+        assertThat(failure.code()).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
     }
 
     @Test
-    void aJobWhoseOnlyWriteIsTurnedAwayIsToldAsNotRunAtOnce() throws InterruptedException
+    void submissionWithRejectedOnlyWriteFailsAtOnceAsNotRun() throws InterruptedException
     {
         store.setDown(true);
-        long begun = SteadyClock.nanos();
-        GaugehollowException refusal = assertThrows(GaugehollowException.class,
-                () -> box.submit(JobScope.of(QUEUE), ID, JOB, in(3_000)));
-        assertThat(refusal.code()).isEqualTo(ResultCode.STORE_UNAVAILABLE);
-        assertThat(TimeUnit.NANOSECONDS.toMillis(SteadyClock.nanos() - begun)).isLessThan(300);
+        long startNanos = SteadyClock.nanos();
+        GaugehollowException failure = assertThrows(GaugehollowException.class,
+                () -> box.submit(JobScope.of(QUEUE), ID, JOB, deadlineIn(3_000)));
+        assertThat(failure.code()).isEqualTo(ResultCode.STORE_UNAVAILABLE);
+        assertThat(TimeUnit.NANOSECONDS.toMillis(SteadyClock.nanos() - startNanos)).isLessThan(300);
         assertThat(store.commits()).isEqualTo(0);
     }
 }
