--- a/gaugehollow/src/main/java/org/gaugehollow/box/BoxRegistry.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/BoxRegistry.java
@@ -28,7 +28,7 @@
 import org.gaugehollow.supervise.SupervisedTask;
 import org.gaugehollow.time.SteadyClock;
 
-/** Registers this box in the store under a lease and knows the other boxes that are registered. */
+/** Registers this box in the store under a lease and tracks the other registered boxes. */
 final class BoxRegistry implements SupervisedTask, KeyFollower.Listener, OwnerElection.Ranking
 {
     private static final int LEASE_MILLIS = 3_000;
@@ -49,17 +49,21 @@
     private volatile long ownRevision = NOT_REGISTERED;
 
     /**
-     * What a box registers.
+     * The stored registration of a box.
      *
-     * @param address where other boxes reach it
-     * @param processorMillis how much processing it can do, in thousandths of a processor
+     * @param address address for calls of other boxes
+     * @param processorMillis processor capacity in thousandths of a processor
      */
     record Entry(String address, int processorMillis)
     {
     }
 
     /**
-     * A registered box: its entry, the revision of its registration, and since when it is known here.
+     * A registered box.
+     *
+     * @param entry its stored registration
+     * @param revision revision of the registration
+     * @param knownNanos steady clock time at which this box learned of it
      */
     private record Registration(Entry entry, long revision, long knownNanos)
     {
@@ -117,7 +121,7 @@
         }
         catch (GaugehollowException e)
         {
-            events.record(EventType.PEER_BAD_CALL, peer, "its registration: " + e.getMessage());
+            events.record(EventType.PEER_BAD_CALL, peer, "invalid registration: " + e.getMessage());
         }
     }
 
@@ -143,7 +147,8 @@
     }
 
     /**
-     * Whether a later life of the box is known; the registration of one that died lapses only later.
+     * Returns whether a newer incarnation at this address is known. The registration of a crashed
+     * incarnation remains until its lease expires.
      */
     private boolean isOldIncarnation(String address, long revision)
     {
@@ -151,17 +156,14 @@
                 registration -> registration.address().equals(address) && registration.revision() > revision);
     }
 
-    /**
-     * A box that starts again has a new id at the same address; the link to its life before is of no
-     * use.
-     */
+    /** Removes previous incarnations: a restarted box has the same address but a new id. */
     private void removeOldIncarnations(String address)
     {
         for (Map.Entry<String, Registration> entry : registrations.entrySet())
         {
             if (entry.getValue().address().equals(address))
             {
-                removePeer(entry.getKey(), "another life registered at " + address);
+                removePeer(entry.getKey(), "a newer incarnation registered at " + address);
             }
         }
     }
@@ -184,16 +186,17 @@
         removePeer(peer, "no longer registered at revision " + revision);
     }
 
-    /** The ids of the other registered boxes. */
+    /** Returns the ids of the other registered boxes. */
     Set<String> peers()
     {
         return Set.copyOf(registrations.keySet());
     }
 
     /**
-     * Whether some other box can do clearly more than this one and has been registered for a while.
+     * Returns whether a box with clearly more processor capacity than this one has been registered for
+     * the minimum time.
      *
-     * @param except a box that does not count
+     * @param except id of a box to ignore
      */
     @Override
     public boolean isOutranked(String except)
@@ -203,10 +206,10 @@
     }
 
     /**
-     * Whether some other box that can do about as much or more registered later than this one, a while
-     * ago.
+     * Returns whether this box registered before another box that has at least similar processor
+     * capacity and has been registered for the minimum time.
      *
-     * @param except a box that does not count
+     * @param except id of a box to ignore
      */
     @Override
     public boolean isLongerRunning(String except)
@@ -224,7 +227,7 @@
                 .anyMatch(condition);
     }
 
-    /** Calls a registered box; empty where it is not registered or does not answer in time. */
+    /** Calls a box; returns empty if it is not registered or does not answer in time. */
     Optional<Frame> call(String peer, Frame.Builder call, int timeoutMillis) throws InterruptedException
     {
         Registration registration = registrations.get(peer);
@@ -242,7 +245,7 @@
         }
     }
 
-    /** The other registered boxes, as ways for callers' requests. */
+    /** Returns the other registered boxes, by id, as peers to which requests can be relayed. */
     Map<String, CallerRelay.Peer> relayPeers()
     {
         Map<String, CallerRelay.Peer> peers = new HashMap<>();
@@ -254,6 +257,6 @@
     @Override
     public void onListed(long revision)
     {
-        // a box that is known already stays known
+        // removals are reported by onRemoved
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/CallerRelay.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/CallerRelay.java
@@ -24,38 +24,39 @@
 import org.gaugehollow.net.HttpReply;
 
 /**
- * Answers callers, over a peer where the store answers that peer and not this box. The peer decides
- * by its own configuration and writes under the same condition, so it does not matter whether an
- * earlier try took effect. Where no peer helps either, the refusal ends the caller's connection, so
- * that the caller comes back through another box.
+ * Answers callers' requests, relaying them to a peer with store access if this box has none. The
+ * peer uses its own configuration and the same write condition, so a relayed request is safe even
+ * if an earlier attempt took effect. If no peer can help, the error reply closes the caller's
+ * connection so that the caller reconnects to another box.
  */
 final class CallerRelay implements HttpHandler
 {
-    /** How long a peer that did not help is left out. */
     private static final long PEER_BACKOFF_NANOS = TimeUnit.SECONDS.toNanos(1);
     private static final int MAX_PEERS = 2;
 
-    /** One way to a peer. */
+    /** A peer to which requests can be relayed. */
     @FunctionalInterface
     interface Peer
     {
         /**
-         * @param request a caller's request
+         * Relays a request to the peer.
+         *
+         * @param request the caller's request
          * @return the peer's answer
-         * @throws InterruptedException if the process stops
-         * @throws GaugehollowException {@code PEER_UNREACHABLE} if the request was surely not sent,
-         *             {@code PEER_LOST} if it may have been, or the code of the peer's refusal
+         * @throws InterruptedException if the thread is interrupted
+         * @throws GaugehollowException {@code PEER_UNREACHABLE} if the request was not sent,
+         *             {@code PEER_LOST} if it may have been sent, or the peer's own error code
          */
         HttpReply answer(HttpMessage request) throws InterruptedException;
     }
 
-    /** Finds the peers that may help. */
+    /** Finds peers that may be able to answer a request. */
     @FunctionalInterface
     interface PeerFinder
     {
         /**
-         * @return ways to the peers that may help, by the boxes' ids
-         * @throws InterruptedException if the process stops
+         * @return the peers by box id
+         * @throws InterruptedException if the thread is interrupted
          */
         Map<String, Peer> find() throws InterruptedException;
     }
@@ -67,10 +68,10 @@
     private final Map<String, Long> backoffStarts = new ConcurrentHashMap<>();
 
     /**
-     * @param localService this box's service
-     * @param peerFinder finds the boxes to ask
-     * @param events where each relayed request is recorded
-     * @param nanoTime a monotonic clock
+     * @param localService answers requests on this box
+     * @param peerFinder finds the peers to relay to
+     * @param events event log
+     * @param nanoTime monotonic clock in nanoseconds
      */
     CallerRelay(CallerService localService, PeerFinder peerFinder, EventLog events, LongSupplier nanoTime)
     {
@@ -98,14 +99,14 @@
         }
     }
 
-    /** Recorded before the answer is sent: a box may die directly after that. */
+    /** Must run before the reply is sent, so that the event is logged even if the box crashes then. */
     private void recordFailure(HttpMessage request, GaugehollowException e)
     {
         events.record(EventType.CALL_REFUSED, request.path(), request.method() + ' ' + e.code().httpStatus()
                 + ' ' + e.code() + ", " + e.code().outcome().label() + ": " + e.getMessage());
     }
 
-    /** Answers a request, over a peer if need be. */
+    /** Answers a request locally or, if that fails and a peer can help, through a peer. */
     HttpReply answer(HttpMessage request) throws InterruptedException
     {
         try
@@ -154,7 +155,7 @@
         events.record(EventType.CALL_RELAYED, request.path(), "over " + peer + ": " + outcome);
     }
 
-    /** Where peers cannot be found, what this box knows of its own try still is the answer. */
+    /** Returns no peers if the lookup fails, so that the local attempt's outcome is reported. */
     private Map<String, Peer> findPeers(HttpMessage request) throws InterruptedException
     {
         try
@@ -195,7 +196,7 @@
         };
     }
 
-    /** That a peer could not help either is told as trouble with the store. */
+    /** Maps a peer's failure that left the request not run to {@code STORE_UNAVAILABLE}. */
     private static GaugehollowException asStoreFailure(GaugehollowException e)
     {
         boolean notRun = canPeerHelp(e.code()) && e.code().outcome() == Outcome.NOT_RUN;
--- a/gaugehollow/src/main/java/org/gaugehollow/box/CallerService.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/CallerService.java
@@ -7,15 +7,17 @@
 import org.gaugehollow.net.HttpMessage;
 import org.gaugehollow.net.HttpReply;
 
-/** Answers callers' requests; an adapter implements it in the protocol of its callers. */
+/** Answers callers' requests. Implemented by an adapter for the protocol of its callers. */
 @FunctionalInterface
 public interface CallerService
 {
     /**
-     * @param request a caller's whole request
-     * @return the answer
-     * @throws InterruptedException if the process stops
-     * @throws org.gaugehollow.model.GaugehollowException with the code of a refusal
+     * Answers a request.
+     *
+     * @param request the complete request
+     * @return the reply
+     * @throws InterruptedException if the thread is interrupted
+     * @throws org.gaugehollow.model.GaugehollowException if the request is rejected or fails
      */
     HttpReply answer(HttpMessage request) throws InterruptedException;
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/CellConfigCache.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/CellConfigCache.java
@@ -13,7 +13,7 @@
 import org.gaugehollow.platform.KeyFollower;
 import org.gaugehollow.schedule.CellPlatform;
 
-/** Holds the newest configuration of the cell; it is only ever replaced by a newer one. */
+/** Caches the newest configuration of the cell. Older versions never replace newer ones. */
 final class CellConfigCache implements KeyFollower.Listener, Supplier<CellConfig>
 {
     private final CellPlatform platform;
@@ -59,12 +59,12 @@
     public void onRemoved(String key, long revision)
     {
         events.record(EventType.CONFIG_BAD_ENTRY, key,
-                "gone at revision " + revision + "; the last one stays");
+                "removed at revision " + revision + "; the last configuration stays in force");
     }
 
     @Override
     public void onListed(long revision)
     {
-        // the configuration is one key; there is nothing to compare
+        // removal of the single configuration key is reported by onRemoved
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/ConfigProbe.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/ConfigProbe.java
@@ -12,11 +12,10 @@
 import org.gaugehollow.supervise.SupervisedTask;
 
 /**
- * Reads the configuration again and again while the store does not answer this box, and until one
- * reading was answered after that; the first answer ends the silence. Readings do not wait for each
- * other: one that was sent before the return may never be answered. Some other call is often
- * answered first, 0.3 s before the watch brings what has changed meanwhile; decided by the old
- * configuration in between, a key was let in that had been taken away 3 s before.
+ * Polls the configuration during a store outage and until one read has succeeded after it. Until
+ * then the cached configuration may be stale, because other calls can succeed before the watch
+ * delivers the changes made during the outage. Reads run concurrently, since a read sent during the
+ * outage may never be answered.
  */
 final class ConfigProbe implements SupervisedTask, BooleanSupplier
 {
@@ -25,13 +24,13 @@
     private final MonitoredStore store;
     private final String key;
     private final KeyFollower.Listener listener;
-    /** The last silence after whose begin the configuration was read. */
+    /** Number of the last outage since whose start the configuration was read. */
     private long lastReadOutage;
 
     /**
-     * @param store the store
-     * @param key where the configuration lies
-     * @param listener takes what is read
+     * @param store monitored store
+     * @param key store key of the configuration
+     * @param listener receives the configuration read
      */
     ConfigProbe(MonitoredStore store, String key, KeyFollower.Listener listener)
     {
@@ -40,7 +39,7 @@
         this.listener = listener;
     }
 
-    /** Whether the configuration may have changed without this box knowing of it. */
+    /** Returns whether the cached configuration may be stale. */
     @Override
     public boolean getAsBoolean()
     {
@@ -71,7 +70,7 @@
         }
         catch (GaugehollowException e)
         {
-            // the store is still silent, as it has noted itself
+            // the next interval retries; MonitoredStore has recorded the failure
         }
         catch (InterruptedException e)
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/box/FreshConfigService.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/FreshConfigService.java
@@ -12,9 +12,9 @@
 import org.gaugehollow.net.HttpReply;
 
 /**
- * Answers no caller by a configuration that may be old: while the store does not answer this box, a
- * queue or a key may have come into force or gone. Such a request goes to a box that the store
- * answers.
+ * Rejects requests while the cached configuration may be stale: during a store outage queues and
+ * API keys may have been added or removed. A rejected request can be relayed to a peer with store
+ * access.
  */
 final class FreshConfigService implements CallerService
 {
@@ -22,8 +22,8 @@
     private final BooleanSupplier mayBeStale;
 
     /**
-     * @param service decides by this box's configuration
-     * @param mayBeStale whether the configuration may have changed without this box knowing of it
+     * @param service answers requests using this box's configuration
+     * @param mayBeStale returns whether the configuration may be stale
      */
     FreshConfigService(CallerService service, BooleanSupplier mayBeStale)
     {
@@ -37,7 +37,7 @@
         if (mayBeStale.getAsBoolean())
         {
             throw new GaugehollowException(ResultCode.CONFIG_MAY_BE_OLD,
-                    "the store does not answer this box, or has only just begun to");
+                    "the store is unresponsive, or the configuration was not yet read again after an outage");
         }
         return service.answer(request);
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/JobBox.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/JobBox.java
@@ -41,8 +41,9 @@
 import org.gaugehollow.time.SteadyClock;
 
 /**
- * One box of a cell that runs jobs: it accepts jobs for any queue, and one box of the cell at a
- * time owns the workers and decides. Ties all parts together and stops them in a planned way.
+ * A box of a cell that runs jobs. Each box accepts jobs for any queue; one box at a time is the
+ * owner, which manages the workers and schedules the jobs. This class wires the components together
+ * and shuts them down gracefully.
  */
 public final class JobBox implements AutoCloseable
 {
@@ -78,24 +79,24 @@
     private final AtomicBoolean leaving = new AtomicBoolean();
 
     /**
-     * What an adapter is given to open the platform and to serve callers.
+     * Shared components that an adapter uses to open the platform.
      *
-     * @param loops the event loops
-     * @param events the log
-     * @param metrics the metrics
+     * @param loops event loops
+     * @param events event log
+     * @param metrics metrics registry
      */
     public record Parts(NetLoops loops, EventLog events, Metrics metrics)
     {
     }
 
-    /** Makes the callers' port over this box's services. */
+    /** Creates the service that answers callers. */
     @FunctionalInterface
     public interface CallerPort
     {
         /**
-         * @param config the newest configuration
-         * @param intake what callers may ask for
-         * @return what answers the callers' requests
+         * @param config supplier of the newest configuration
+         * @param intake operations on jobs
+         * @return the service that answers callers' requests
          */
         CallerService open(Supplier<CellConfig> config, JobIntake intake);
     }
@@ -103,9 +104,9 @@
     /**
      * Starts a box.
      *
-     * @param settings the checked settings
+     * @param settings validated settings
      * @param openPlatform opens the platform
-     * @param callerPort speaks to callers
+     * @param callerPort creates the service for callers
      */
     public JobBox(JobBoxSettings settings, Function<Parts, CellPlatform> openPlatform, CallerPort callerPort)
     {
@@ -192,29 +193,29 @@
         exchange.respond(HttpReply.of(HTTP_OK, Metrics.CONTENT_TYPE, metrics.scrape()));
     }
 
-    /** @return whether callers should be sent here */
+    /** @return whether this box can serve callers */
     public boolean isReady()
     {
         return !leaving.get() && config.get().version() > 0 && !store.isUnresponsive();
     }
 
-    /** @return this box's id, new with each start */
+    /** @return the id of this incarnation of the box */
     public String id()
     {
         return id;
     }
 
-    /** @return this box's log */
+    /** @return the event log */
     public EventLog events()
     {
         return events;
     }
 
     /**
-     * Stops in a planned way: ownership is given up at once, callers are served until the balancer has
-     * surely seen that this box leaves, and what is in flight is answered.
+     * Shuts down gracefully: resigns as owner, serves callers until the load balancer has had time to
+     * remove this box, then waits for the requests in flight within the drain time.
      *
-     * @throws InterruptedException if the process is stopped meanwhile
+     * @throws InterruptedException if the thread is interrupted
      */
     public void stop() throws InterruptedException
     {
@@ -232,7 +233,7 @@
         {
             Thread.sleep(DRAIN_POLL_MILLIS);
         }
-        events.record(EventType.PROCESS_STOPPED, id, "in flight: " + callerServer.inFlight());
+        events.record(EventType.PROCESS_STOPPED, id, "requests in flight: " + callerServer.inFlight());
         close();
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/box/JobBoxSettings.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/JobBoxSettings.java
@@ -12,18 +12,18 @@
 /**
  * Settings of a box that schedules jobs.
  *
- * @param box the box's name
- * @param hall its data hall
- * @param callerAddress where callers connect
- * @param readinessAddress where readiness is asked for
- * @param peerAddress where other boxes connect
- * @param metricsAddress where metrics are served
- * @param storeAddress the platform's store
- * @param adviceAddress the advice service, or an empty text where there is none
- * @param statusSeconds how long a job is shown after it is over, in seconds
- * @param drainSeconds how long a planned stop may take in all, in seconds
- * @param processors how many processors the box has; 1 if absent
- * @param processorShare which share of them the process may use; 1 if absent
+ * @param box name of the box
+ * @param hall data hall of the box
+ * @param callerAddress listen address for callers
+ * @param readinessAddress listen address for readiness checks
+ * @param peerAddress listen address for other boxes
+ * @param metricsAddress listen address for metrics scrapes
+ * @param storeAddress address of the platform's store
+ * @param adviceAddress address of the advice service, empty if there is none
+ * @param statusSeconds retention time of the state of an ended job, in seconds
+ * @param drainSeconds maximum duration of a graceful shutdown, in seconds
+ * @param processors number of processors of the machine; 1 if absent
+ * @param processorShare share of these processors that the process may use; 1 if absent
  */
 public record JobBoxSettings(String box, String hall, String callerAddress, String readinessAddress,
         String peerAddress, String metricsAddress, String storeAddress, String adviceAddress,
@@ -35,7 +35,7 @@
     private static final int MILLIS_PER_PROCESSOR = 1_000;
     private static final int MAX_STATUS_SECONDS = 86_400;
 
-    /** Checks every key. */
+    /** Validates the settings and applies defaults. */
     public JobBoxSettings
     {
         Checks.present(box, "box");
@@ -62,7 +62,7 @@
         }
     }
 
-    /** @return how much processing the box can do, in thousandths of a processor */
+    /** @return processor capacity of the box in thousandths of a processor */
     public int processorMillis()
     {
         return (int) (processors * processorShare * MILLIS_PER_PROCESSOR);
--- a/gaugehollow/src/main/java/org/gaugehollow/box/JobIntake.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/JobIntake.java
@@ -33,8 +33,8 @@
 import com.fasterxml.jackson.core.type.TypeReference;
 
 /**
- * What callers ask about jobs. Every box answers alike, from the store: accepting a job is one
- * conditional write of its record, so neither an owner nor a peer is needed.
+ * Accepts, cancels and reports jobs. Every box can serve every call from the store alone: accepting
+ * a job is one conditional write of its record, so neither the owner nor a peer is involved.
  */
 public final class JobIntake
 {
@@ -51,10 +51,10 @@
     private final Metrics metrics;
 
     /**
-     * @param store the platform's store
-     * @param listener is told of each job whose record or cancellation this box wrote
-     * @param events where each decision is recorded
-     * @param metrics counts and times the calls
+     * @param store monitored store of the platform
+     * @param listener notified of each job record or cancellation written by this box
+     * @param events event log
+     * @param metrics receives the count and duration of calls
      */
     public JobIntake(MonitoredStore store, JobListener listener, EventLog events, Metrics metrics)
     {
@@ -64,7 +64,7 @@
         this.metrics = metrics;
     }
 
-    /** One call of a caller. */
+    /** An operation whose duration and result code are measured. */
     private interface Call<T>
     {
         T run() throws InterruptedException;
@@ -91,22 +91,22 @@
         }
     }
 
-    /** One conditional write, which may be sent again under the same condition. */
+    /** A conditional write that is safe to retry. */
     private interface Write
     {
         void run() throws InterruptedException;
     }
 
     /**
-     * Accepts a job; one whose id is known already stays as it is.
+     * Accepts a job. A job that is already stored under the id is left unchanged.
      *
-     * @param scope the queue, and whose job it is
-     * @param id the job's id
-     * @param job what is to be run
-     * @param deadlineNanos until when the caller waits, on {@link SteadyClock#nanos}
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException {@code STORE_UNAVAILABLE} if this call surely did not accept the job
-     *             and never will, {@code STORE_OUTCOME_UNKNOWN} if it may have or may yet,
+     * @param scope queue and customer of the job
+     * @param id id of the job
+     * @param job specification of the job
+     * @param deadlineNanos the caller's deadline on {@link SteadyClock#nanos}
+     * @throws InterruptedException if the thread is interrupted
+     * @throws GaugehollowException {@code STORE_UNAVAILABLE} if this call did not and will not accept
+     *             the job, {@code STORE_OUTCOME_UNKNOWN} if it may have accepted it or may still do so,
      *             {@code JOB_CONFLICT} if the id belongs to another customer's job
      */
     public void submit(JobScope scope, String id, JobSpec job, long deadlineNanos) throws InterruptedException
@@ -131,7 +131,7 @@
         }
         listener.onJobWritten(id);
         events.record(EventType.JOB_ACCEPTED, id, scope.queue().name() + customerSuffix(scope.customer())
-                + (created[0] ? "" : ", known already"));
+                + (created[0] ? "" : ", already known"));
         return created[0];
     }
 
@@ -140,32 +140,31 @@
         return customer == null ? "" : " of " + customer;
     }
 
-    /** An id that another customer's job has is not this caller's; its own job was not taken. */
+    /** Throws {@code JOB_CONFLICT} if the id belongs to another customer's job. */
     private void requireSameCustomer(JobScope scope, String id) throws InterruptedException
     {
         Optional<String> owner = readAfterWrite(id).map(JobRecord::customer);
         if (owner.isPresent() && !owner.get().equals(scope.customer()))
         {
             events.record(EventType.JOB_REFUSED, id,
-                    ResultCode.JOB_CONFLICT + ": asked for by " + scope.customer());
-            throw new GaugehollowException(ResultCode.JOB_CONFLICT, "the id " + id + " is taken");
+                    ResultCode.JOB_CONFLICT + ": requested by " + scope.customer());
+            throw new GaugehollowException(ResultCode.JOB_CONFLICT, "job id " + id + " is already in use");
         }
     }
 
-    /**
-     * Nothing is sent to a store that does not answer: the caller is told at once when to come back.
-     */
+    /** Fails fast with a retryable error, without calling the store, while it is unresponsive. */
     private void requireResponsiveStore(String id)
     {
         if (store.isUnresponsive())
         {
-            events.record(EventType.JOB_REFUSED, id, ResultCode.STORE_UNAVAILABLE + ": the store is silent");
+            events.record(EventType.JOB_REFUSED, id,
+                    ResultCode.STORE_UNAVAILABLE + ": the store is unresponsive");
             throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE,
-                    "the platform's store does not answer; this try changed nothing");
+                    "the platform's store is unresponsive; this request changed nothing");
         }
     }
 
-    /** By now the caller's own write may have taken effect, so nothing may be told as not run. */
+    /** Reports every failure as an unknown outcome, since the caller's write may have taken effect. */
     private Optional<JobRecord> readAfterWrite(String id) throws InterruptedException
     {
         try
@@ -175,7 +174,7 @@
         catch (GaugehollowException e)
         {
             throw new GaugehollowException(ResultCode.STORE_OUTCOME_UNKNOWN,
-                    "whose job has this id could not be read: " + e.getMessage(), e);
+                    "failed to read the customer of job " + id + ": " + e.getMessage(), e);
         }
     }
 
@@ -207,10 +206,10 @@
     /**
      * Cancels a job.
      *
-     * @param scope the queue, and whose jobs the caller may change
-     * @param id the job's id
-     * @param deadlineNanos until when the caller waits, on {@link SteadyClock#nanos}
-     * @throws InterruptedException if the process stops
+     * @param scope queue and customer to which the caller has access
+     * @param id id of the job
+     * @param deadlineNanos the caller's deadline on {@link SteadyClock#nanos}
+     * @throws InterruptedException if the thread is interrupted
      * @throws GaugehollowException {@code UNKNOWN_JOB} if there is no such job in the scope
      */
     public void cancel(JobScope scope, String id, long deadlineNanos) throws InterruptedException
@@ -241,11 +240,10 @@
     }
 
     /**
-     * Writes the cancellation of a job that is not there. Its record may still be on the way from a
-     * submission without an answer; carried out after the caller was told that there is no such job, it
-     * would run all the same.
+     * Writes the cancellation of a job that has no record. A submission that was not answered may still
+     * write the record later; the cancellation then keeps the job from running.
      *
-     * @return whether there still was no record
+     * @return whether the record was still absent
      */
     private boolean cancelIfAbsent(JobScope scope, String id, long deadlineNanos) throws InterruptedException
     {
@@ -258,10 +256,12 @@
     }
 
     /**
-     * @param scope the queue, and whose jobs the caller may see
-     * @param id the job's id
-     * @return the job's state
-     * @throws InterruptedException if the process stops
+     * Returns the state of a job.
+     *
+     * @param scope queue and customer to which the caller has access
+     * @param id id of the job
+     * @return state of the job
+     * @throws InterruptedException if the thread is interrupted
      * @throws GaugehollowException {@code UNKNOWN_JOB} if there is no such job in the scope
      */
     public JobState state(JobScope scope, String id) throws InterruptedException
@@ -291,7 +291,7 @@
         return HedgedCall.read(() -> store.list(JobKeys.jobPrefix(id)));
     }
 
-    /** Another customer's job is answered as one that is not there: neither tells of the other. */
+    /** Reports a job of another customer as unknown, so that its existence is not disclosed. */
     private void requireInScope(JobScope scope, String id, String queue, String customer, long revision)
     {
         if (!scope.covers(queue, customer))
@@ -323,10 +323,12 @@
     }
 
     /**
+     * Returns the number of waiting jobs of a queue.
+     *
      * @param queue the queue
-     * @return how many of its jobs have not begun, as the owner counted them last
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException {@code COUNT_UNKNOWN} while no owner counts them
+     * @return number of jobs that have not started, as last counted by the owner
+     * @throws InterruptedException if the thread is interrupted
+     * @throws GaugehollowException {@code COUNT_UNKNOWN} if no owner has published a count
      */
     public int pending(QueueSpec queue) throws InterruptedException
     {
@@ -334,7 +336,7 @@
         Optional<StoredValue> stored = HedgedCall.read(() -> store.get(JobKeys.SUMMARY));
         if (stored.isEmpty())
         {
-            throw new GaugehollowException(ResultCode.COUNT_UNKNOWN, "no box owns the cell at the moment");
+            throw new GaugehollowException(ResultCode.COUNT_UNKNOWN, "no box currently owns the cell");
         }
         try
         {
@@ -342,7 +344,8 @@
         }
         catch (java.io.IOException e)
         {
-            throw new GaugehollowException(ResultCode.STORE_BAD_ANSWER, "the counts cannot be read", e);
+            throw new GaugehollowException(ResultCode.STORE_BAD_ANSWER,
+                    "failed to parse the pending job counts", e);
         }
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/JobListener.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/JobListener.java
@@ -5,14 +5,14 @@
 package org.gaugehollow.box;
 
 /**
- * Is told of what a box has just written about jobs. Each method returns at once, and nothing
- * depends on it: the owner follows the store.
+ * Notified of job records and cancellations that this box has written. Methods must not block.
+ * Delivery is best effort, because the owner also watches the store.
  */
 public interface JobListener
 {
-    /** @param job the id of a job whose record was written */
+    /** @param job id of the job whose record was written */
     void onJobWritten(String job);
 
-    /** @param job the id of a job whose cancellation was written */
+    /** @param job id of the job whose cancellation was written */
     void onJobCancelled(String job);
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/MonitoredPlatform.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/MonitoredPlatform.java
@@ -14,7 +14,7 @@
 import org.gaugehollow.worker.WorkerEntry;
 import org.gaugehollow.worker.WorkerPort;
 
-/** A platform all of whose store calls are monitored. */
+/** Delegates to a platform, with its store replaced by a monitored one. */
 final class MonitoredPlatform implements CellPlatform
 {
     private final CellPlatform platform;
--- a/gaugehollow/src/main/java/org/gaugehollow/box/PeerAdvice.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/PeerAdvice.java
@@ -14,7 +14,7 @@
 import org.gaugehollow.worker.Advice;
 import org.gaugehollow.worker.AdvicePort;
 
-/** Asks a peer to call the advice service for this box. */
+/** Calls the advice service through a peer. */
 final class PeerAdvice implements AdvicePort
 {
     private static final int NETWORK_MARGIN_MILLIS = 200;
@@ -39,7 +39,7 @@
                 advice.getValidMillis());
     }
 
-    /** Answers a peer's call over this box's own line. */
+    /** Handles a peer's call by calling the advice service from this box. */
     static Frame.Builder handle(AdviceCall call, AdvicePort adviceService) throws InterruptedException
     {
         Advice advice = adviceService.advise(call.getStep(), call.getWorkersList(), call.getTimeoutMillis());
--- a/gaugehollow/src/main/java/org/gaugehollow/box/PeerJobNotice.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/PeerJobNotice.java
@@ -10,8 +10,8 @@
 import org.gaugehollow.schedule.OwnerElection;
 
 /**
- * Tells the cell's owner of jobs that this box accepted or cancelled. Nothing depends on it: the
- * owner follows the store, and hears of them sooner this way while its watch is held up.
+ * Notifies the cell's owner of jobs that this box accepted or cancelled. Delivery is best effort:
+ * the owner also watches the store, but learns of jobs sooner this way while its watch is delayed.
  */
 final class PeerJobNotice implements JobListener
 {
@@ -66,7 +66,7 @@
         }
     }
 
-    /** Answers a peer that tells of a job. */
+    /** Handles a notice from a peer. */
     static Frame.Builder handle(JobNotice notice, OwnerElection election)
     {
         if (notice.getCancelled())
--- a/gaugehollow/src/main/java/org/gaugehollow/box/PeerOwnerProbe.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/PeerOwnerProbe.java
@@ -13,7 +13,7 @@
 import org.gaugehollow.schedule.OwnerMonitor;
 import org.gaugehollow.schedule.OwnerProbe;
 
-/** Asks registered boxes about the owner over their links, and answers when they ask. */
+/** Probes registered boxes for the state of the owner, and answers such probes. */
 final class PeerOwnerProbe implements OwnerProbe
 {
     private static final int NETWORK_MARGIN_MILLIS = 450;
@@ -44,7 +44,7 @@
         return new Result(true, reply.getIsOwner(), reply.getUnconfirmedMillis(), reply.getSilent());
     }
 
-    /** Answers a peer's call about the owner. */
+    /** Handles a peer's probe; a reply as owner is delayed by the requested time. */
     static Frame.Builder handle(OwnerCall call, String box, OwnerElection election, OwnerMonitor monitor)
             throws InterruptedException
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/box/PeerRelay.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/PeerRelay.java
@@ -18,7 +18,7 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Hands callers' requests to a peer, and answers those that peers hand to this box. */
+/** Relays callers' requests to a peer, and handles requests that peers relay to this box. */
 final class PeerRelay implements CallerRelay.Peer
 {
     private static final int TIMEOUT_MILLIS = 800;
@@ -41,7 +41,7 @@
         return HttpReply.of(reply.getStatus(), reply.getContentType(), reply.getBody().toByteArray());
     }
 
-    /** Answers a peer's call by this box's own service, never over another peer. */
+    /** Handles a relayed request locally; it is never relayed again. */
     static Frame.Builder handle(RelayCall call, CallerService service) throws InterruptedException
     {
         HttpHeaders headers = new DefaultHttpHeaders();
--- a/gaugehollow/src/main/java/org/gaugehollow/box/PeerStoreProbe.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/PeerStoreProbe.java
@@ -9,7 +9,7 @@
 import org.gaugehollow.peer.generated.PeerProtocol.StoreReply;
 import org.gaugehollow.platform.MonitoredStore;
 
-/** Asks registered boxes over their links whether the store answers them, and answers the same. */
+/** Probes registered boxes for store access, and answers such probes. */
 final class PeerStoreProbe implements StorePeerFinder.StoreProbe
 {
     private static final int TIMEOUT_MILLIS = 300;
@@ -29,7 +29,7 @@
                 .orElse(false);
     }
 
-    /** Answers a peer's question. */
+    /** Handles a peer's probe. */
     static Frame.Builder handle(MonitoredStore store)
     {
         return Frame.newBuilder().setStoreReply(StoreReply.newBuilder().setAnswers(store.isStable()));
--- a/gaugehollow/src/main/java/org/gaugehollow/box/StorePeerFinder.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/StorePeerFinder.java
@@ -17,29 +17,29 @@
 import java.util.function.Supplier;
 
 /**
- * Finds the peers whose calls the store answers. All registered peers are asked at the same time,
- * and only when somebody wants to know; what they said holds for a moment.
+ * Finds peers that have store access. All registered peers are probed concurrently and on demand;
+ * the result of a round is shared by calls that follow shortly after.
  */
 final class StorePeerFinder
 {
-    /** How long a round of questions serves all who ask. */
+    /** Time for which the result of a round is reused. */
     private static final long ROUND_VALIDITY_NANOS = TimeUnit.MILLISECONDS.toNanos(200);
-    /** How long to wait for the first peer that can help. */
+    /** Maximum wait for the first peer with store access. */
     private static final int MAX_WAIT_MILLIS = 120;
 
-    /** Asks one peer whether the store answers it. */
+    /** Checks whether a peer has store access. */
     @FunctionalInterface
     interface StoreProbe
     {
         /**
-         * @param peer a registered box
-         * @return whether the store answers that box; false as well if the box does not answer
-         * @throws InterruptedException if the process stops
+         * @param peer id of a registered box
+         * @return whether the peer has store access; false if the peer does not answer
+         * @throws InterruptedException if the thread is interrupted
          */
         boolean hasStoreAccess(String peer) throws InterruptedException;
     }
 
-    /** One round of questions. */
+    /** One round of concurrent probes. */
     private static final class Round
     {
         private final long startNanos;
@@ -73,9 +73,9 @@
     private Round lastRound;
 
     /**
-     * @param peers the ids of the registered boxes
-     * @param storeProbe asks one of them
-     * @param nanoTime a monotonic clock
+     * @param peers supplies the ids of the registered peers
+     * @param storeProbe probes a single peer
+     * @param nanoTime monotonic clock in nanoseconds
      */
     StorePeerFinder(Supplier<Set<String>> peers, StoreProbe storeProbe, LongSupplier nanoTime)
     {
@@ -84,7 +84,7 @@
         this.nanoTime = nanoTime;
     }
 
-    /** The peers that have just said that the store answers them; none if no peer says so in time. */
+    /** Returns the peers known to have store access; empty if none confirms it in time. */
     List<String> find() throws InterruptedException
     {
         Round round = currentRound();
@@ -133,7 +133,7 @@
         }
     }
 
-    /** Of some ways to peers, those to peers that can help. */
+    /** Returns those candidates that have store access. */
     Map<String, CallerRelay.Peer> filter(Map<String, CallerRelay.Peer> candidates) throws InterruptedException
     {
         Map<String, CallerRelay.Peer> peersWithAccess = new HashMap<>();
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/Advice.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/Advice.java
@@ -7,18 +7,18 @@
 import java.util.List;
 
 /**
- * The workers that may run a step.
+ * Reply of the advice service: the workers that may run a step.
  *
- * @param tickets one ticket for each such worker
- * @param validMillis how long the tickets are valid, from when they were asked for, in milliseconds
+ * @param tickets one ticket per allowed worker
+ * @param validMillis validity of the tickets in milliseconds, counted from the request
  */
 public record Advice(List<Ticket> tickets, long validMillis)
 {
     /**
-     * Leave to start a step's tasks on one life of a worker.
+     * Permission to start the tasks of a step on one incarnation of a worker.
      *
-     * @param worker the worker's id
-     * @param text what the start has to bring
+     * @param worker id of the worker
+     * @param text opaque text to send with the start command
      */
     public record Ticket(String worker, String text)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/AdvicePort.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/AdvicePort.java
@@ -6,19 +6,19 @@
 
 import java.util.List;
 
-/** The service that names the workers that may run a step. */
+/** Client of the advice service, which decides which workers may run a step. */
 @FunctionalInterface
 public interface AdvicePort
 {
     /**
-     * Asks which workers may run a step, and waits for the answer.
+     * Requests the workers that may run a step and waits for the reply.
      *
-     * @param step the step's full name
-     * @param workers ids of the workers to judge
-     * @param timeoutMillis how long to wait
-     * @return the workers that may run it
-     * @throws InterruptedException if the process stops
-     * @throws org.gaugehollow.model.GaugehollowException if there was no answer
+     * @param step full name of the step
+     * @param workers ids of the candidate workers
+     * @param timeoutMillis timeout in milliseconds
+     * @return tickets for the allowed workers
+     * @throws InterruptedException if the thread is interrupted
+     * @throws org.gaugehollow.model.GaugehollowException if the call fails or times out
      */
     Advice advise(String step, List<String> workers, int timeoutMillis) throws InterruptedException;
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/CommandReply.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/CommandReply.java
@@ -5,10 +5,10 @@
 package org.gaugehollow.worker;
 
 /**
- * What a worker answers to a start, a stop or a change of pace.
+ * Reply of a worker to a start, stop or throttle command.
  *
- * @param result what became of it
- * @param clockMillis the worker's clock when it answered, 0 if it did not say
+ * @param result result of the command
+ * @param clockMillis the worker's clock at the time of the reply in milliseconds, 0 if unknown
  */
 public record CommandReply(CommandResult result, long clockMillis)
 {
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/CommandResult.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/CommandResult.java
@@ -4,33 +4,33 @@
  */
 package org.gaugehollow.worker;
 
-/** What became of an order to a worker. */
+/** Result of a command sent to a worker. */
 public enum CommandResult
 {
     /** Carried out. */
     DONE,
-    /** Refused: the worker has seen a higher fencing token. */
+    /** Rejected: the worker has seen a higher fencing token. */
     FENCED,
-    /** Refused: the run is not above one that ended or was stopped there. */
+    /** Rejected: a run with the same or a higher number has ended or was stopped on the worker. */
     OLD_RUN,
-    /** Refused: the deadline has passed on the worker's clock. */
+    /** Rejected: the deadline has passed on the worker's clock. */
     LATE,
-    /** Refused: it does not fit into the worker's room. */
+    /** Rejected: the worker does not have enough free capacity. */
     NO_ROOM,
-    /** Refused: the ticket is not valid. */
+    /** Rejected: the ticket is not valid. */
     BAD_TICKET,
-    /** Refused by an unhealthy worker, which did nothing. */
+    /** Rejected by an unhealthy worker, without any effect. */
     UNHEALTHY,
-    /** Refused: another life of the worker answers at this address. */
+    /** Rejected: another incarnation of the worker uses this address. */
     OTHER_LIFE,
-    /** Refused as malformed. */
+    /** Rejected as malformed. */
     INVALID,
-    /** Kept back, because orders may not be sent any more: it is surely not done. */
+    /** Not sent, because the sender may no longer send commands: the command has no effect. */
     NOT_SENT,
-    /** No answer: it may have been done or may be done later. */
+    /** No reply: the command may have been carried out or may still be. */
     UNKNOWN;
 
-    /** @return whether the worker has taken or refused the order for good */
+    /** @return whether the worker has finally accepted or rejected the command */
     public boolean isSettled()
     {
         return this != UNKNOWN && this != UNHEALTHY && this != NOT_SENT;
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/HeartbeatReply.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/HeartbeatReply.java
@@ -7,25 +7,25 @@
 import java.util.List;
 
 /**
- * What a worker answers to a hold.
+ * Reply of a worker to a heartbeat.
  *
- * @param result {@link CommandResult#DONE} where the lists are valid
- * @param clockMillis the worker's clock when it answered
- * @param running what runs there
- * @param ended ends that were not yet taken note of
+ * @param result {@link CommandResult#DONE} if the lists are valid
+ * @param clockMillis the worker's clock at the time of the reply in milliseconds
+ * @param running runs in progress on the worker
+ * @param ended run ends that the owner has not acknowledged yet
  */
 public record HeartbeatReply(CommandResult result, long clockMillis, List<RunningRun> running,
         List<EndedRun> ended)
 {
     /**
-     * A run that is there.
+     * A run in progress.
      *
-     * @param task the task's full name
-     * @param run the number of the run
-     * @param checkpoint the newest saved state, or an empty text
-     * @param percent how far it has come, or at what share a long-running one works
-     * @param gauge tail of answer times in milliseconds for a serving task, otherwise processor share
-     *            in use
+     * @param task full name of the task
+     * @param run number of the run
+     * @param checkpoint newest saved state, or an empty string
+     * @param percent progress of the run, or the share of full speed for a long-running task
+     * @param gauge tail latency in milliseconds for a serving task, otherwise the processor share in
+     *            use
      */
     public record RunningRun(String task, int run, String checkpoint, int percent, double gauge)
     {
@@ -34,19 +34,19 @@
     /**
      * The end of a run.
      *
-     * @param number rises by one with each end in one life of the worker
-     * @param task the task's full name
-     * @param run the number of the run
-     * @param how how it ended
-     * @param checkpoint the newest saved state, or an empty text
+     * @param number sequence number, increased by one with each run end of an incarnation
+     * @param task full name of the task
+     * @param run number of the run
+     * @param how reason for the end
+     * @param checkpoint newest saved state, or an empty string
      */
     public record EndedRun(long number, String task, int run, RunEnd how, String checkpoint)
     {
     }
 
     /**
-     * @param result why there is no valid answer
-     * @return an answer without lists
+     * @param result reason for the missing lists
+     * @return a reply with empty lists
      */
     public static HeartbeatReply refused(CommandResult result)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/HeartbeatRequest.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/HeartbeatRequest.java
@@ -5,13 +5,14 @@
 package org.gaugehollow.worker;
 
 /**
- * An order that renews the lease of all that runs on a worker and asks what runs and what ended.
+ * Heartbeat that renews the lease of all runs on a worker and requests its running and ended runs.
  *
- * @param fence the owner's fencing token
- * @param lastAckedEnd the number of the last end that was taken note of
- * @param deadline until when the worker may run what it runs, on its clock in milliseconds; 0 to
- *            leave it
- * @param waitMillis how long the answer may wait for an end
+ * @param fence fencing token of the owner
+ * @param lastAckedEnd number of the last acknowledged run end
+ * @param deadline expiry of the lease on the worker's clock in milliseconds; 0 to leave it
+ *            unchanged
+ * @param waitMillis maximum time in milliseconds that the worker delays its reply to await a run
+ *            end
  */
 public record HeartbeatRequest(long fence, long lastAckedEnd, long deadline, int waitMillis)
 {
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/RunEnd.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/RunEnd.java
@@ -4,19 +4,19 @@
  */
 package org.gaugehollow.worker;
 
-/** How a run ended. */
+/** Reason for the end of a run. */
 public enum RunEnd
 {
-    /** It did its work. */
+    /** The run completed. */
     DONE,
-    /** It failed by its own fault or the worker's. */
+    /** The task or its worker failed. */
     FAILED,
-    /** It was stopped by an order. */
+    /** The run was stopped by a command. */
     STOPPED,
-    /** The worker's lease lapsed. */
+    /** The worker's lease expired. */
     LAPSED,
     /** Another member of its gang ended. */
     BROKEN,
-    /** The other members of its gang did not come in time. */
+    /** The other members of its gang did not start in time. */
     ALONE
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/StartCommand.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/StartCommand.java
@@ -5,15 +5,15 @@
 package org.gaugehollow.worker;
 
 /**
- * An order to start one run of a task.
+ * Command that starts a run of a task.
  *
- * @param task the task's full name
- * @param run the number of the run
- * @param spec text handed to the task
- * @param deadline until when the worker may run it, on the worker's clock, in milliseconds
- * @param fence the owner's fencing token
- * @param checkpoint saved state to go on from, or null
- * @param ticket the advice service's ticket, or null
+ * @param task full name of the task
+ * @param run number of the run
+ * @param spec specification text passed to the task
+ * @param deadline expiry of the lease on the worker's clock in milliseconds
+ * @param fence fencing token of the owner
+ * @param checkpoint saved state to resume from, or null
+ * @param ticket ticket of the advice service, or null
  */
 public record StartCommand(String task, int run, String spec, long deadline, long fence, String checkpoint,
         String ticket)
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/WorkerEntry.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/WorkerEntry.java
@@ -9,17 +9,17 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * A worker as the platform lists it.
+ * A worker as listed by the platform.
  *
- * @param incarnation the life that wrote the entry
- * @param service the service it belongs to
- * @param address where it takes orders, IP number and port
- * @param hall the data hall
- * @param draining whether it is about to leave
- * @param remainingMillis the least time until it leaves, in milliseconds; negative if unknown
- * @param capacity what it holds
- * @param labels its labels, the rack among them
- * @param rack the rack it stands in, or an empty text
+ * @param incarnation incarnation that wrote the entry
+ * @param service service that the worker belongs to
+ * @param address address for commands, as IP address and port
+ * @param hall data hall of the worker
+ * @param draining whether the worker is about to leave
+ * @param remainingMillis minimum time until it leaves in milliseconds; negative if unknown
+ * @param capacity total compute resources
+ * @param labels labels, including the rack
+ * @param rack rack of the worker, or an empty string
  */
 public record WorkerEntry(WorkerIncarnation incarnation, String service, String address, String hall,
         boolean draining, long remainingMillis, ComputeResources capacity, Set<String> labels, String rack)
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/WorkerIncarnation.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/WorkerIncarnation.java
@@ -8,23 +8,25 @@
 import java.util.regex.Pattern;
 
 /**
- * One life of a worker, from its start to its end. A worker may start again under the same id; it
- * then knows nothing of the life before, and its end numbers and its clock begin anew.
+ * One process lifetime of a worker. A worker may restart under the same id; it then has no state of
+ * its previous incarnation, and its run end numbers and its clock start anew.
  *
- * @param worker the worker's id
- * @param startedMillis when the life began, in Unix milliseconds, or {@link #START_UNKNOWN}
+ * @param worker id of the worker
+ * @param startedMillis start time in Unix milliseconds, or {@link #START_UNKNOWN}
  */
 public record WorkerIncarnation(String worker, long startedMillis)
 {
-    /** The worker does not tell when it started; its id then stands for one life alone. */
+    /** The worker does not report its start time; its id identifies a single incarnation. */
     public static final long START_UNKNOWN = -1;
 
     private static final char SEPARATOR = '@';
     private static final Pattern TEXT = Pattern.compile("(.*)" + SEPARATOR + "(\\d{1,18})");
 
     /**
-     * @param worker the id of a worker that does not tell when it started
-     * @return its only life
+     * Returns the incarnation of a worker that does not report its start time.
+     *
+     * @param worker id of the worker
+     * @return its only incarnation
      */
     public static WorkerIncarnation withUnknownStart(String worker)
     {
@@ -32,8 +34,10 @@
     }
 
     /**
-     * @param text what {@link #text} returned
-     * @return the life
+     * Parses the text form.
+     *
+     * @param text result of {@link #text}
+     * @return the incarnation
      */
     public static WorkerIncarnation parse(String text)
     {
@@ -43,15 +47,13 @@
                 : withUnknownStart(text);
     }
 
-    /** @return whether the worker tells when it started */
+    /** @return whether the start time is known */
     public boolean hasStartTime()
     {
         return startedMillis != START_UNKNOWN;
     }
 
-    /**
-     * @return the life as one text, under which it is recorded and logged: {@code i-7f@1733212800000}
-     */
+    /** @return the text form used in records and logs, such as {@code i-7f@1733212800000} */
     public String text()
     {
         return hasStartTime() ? worker + SEPARATOR + startedMillis : worker;
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/WorkerPort.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/WorkerPort.java
@@ -5,46 +5,54 @@
 package org.gaugehollow.worker;
 
 /**
- * The orders that one life of a worker takes. Each call waits for its answer; a call without an
- * answer in time ends as {@link CommandResult#UNKNOWN} and never throws for the worker's sake.
+ * Client of one incarnation of a worker. Each call waits for the reply; a call that gets none in
+ * time returns {@link CommandResult#UNKNOWN}. Failures of the worker never cause an exception.
  */
 public interface WorkerPort extends AutoCloseable
 {
     /**
-     * @param order what to start
-     * @param timeoutMillis how long to wait for the answer
-     * @return what became of it
-     * @throws InterruptedException if the process stops
+     * Starts a run.
+     *
+     * @param command run to start
+     * @param timeoutMillis timeout in milliseconds
+     * @return the worker's reply
+     * @throws InterruptedException if the thread is interrupted
      */
     CommandReply start(StartCommand command, int timeoutMillis) throws InterruptedException;
 
     /**
-     * @param task the task's full name
-     * @param run the run that is to end; it can never start afterwards
-     * @param fence the owner's fencing token
-     * @param timeoutMillis how long to wait for the answer
-     * @return what became of it
-     * @throws InterruptedException if the process stops
+     * Stops a run. A run that has not started yet can never start afterwards.
+     *
+     * @param task full name of the task
+     * @param run number of the run
+     * @param fence fencing token of the owner
+     * @param timeoutMillis timeout in milliseconds
+     * @return the worker's reply
+     * @throws InterruptedException if the thread is interrupted
      */
     CommandReply stop(String task, int run, long fence, int timeoutMillis) throws InterruptedException;
 
     /**
-     * @param task the task's full name
-     * @param run the run
-     * @param percent at what share of its speed it is to work, 0 to 100
-     * @param fence the owner's fencing token
-     * @param timeoutMillis how long to wait for the answer
-     * @return what became of it
-     * @throws InterruptedException if the process stops
+     * Limits the speed of a run.
+     *
+     * @param task full name of the task
+     * @param run number of the run
+     * @param percent speed limit in percent of full speed, 0 to 100
+     * @param fence fencing token of the owner
+     * @param timeoutMillis timeout in milliseconds
+     * @return the worker's reply
+     * @throws InterruptedException if the thread is interrupted
      */
     CommandReply throttle(String task, int run, int percent, long fence, int timeoutMillis)
             throws InterruptedException;
 
     /**
-     * @param order how long the lease is to last and what was seen
-     * @param timeoutMillis how long to wait for the answer
-     * @return what runs there and what ended
-     * @throws InterruptedException if the process stops
+     * Renews the leases, acknowledges run ends and returns the current runs.
+     *
+     * @param request lease deadline and acknowledged run ends
+     * @param timeoutMillis timeout in milliseconds
+     * @return running and ended runs
+     * @throws InterruptedException if the thread is interrupted
      */
     HeartbeatReply heartbeat(HeartbeatRequest request, int timeoutMillis) throws InterruptedException;
 
--- a/gaugehollow/src/test/java/org/gaugehollow/box/BoxRegistryTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/BoxRegistryTest.java
@@ -23,7 +23,7 @@
 import org.junit.jupiter.api.AfterEach;
 import org.junit.jupiter.api.Test;
 
-/** Boxes that come, go and start again under the same address. */
+/** Guards against losing or confusing peers when boxes restart under the same address. */
 class BoxRegistryTest
 {
     private static final byte[] ENTRY = Json.write(new BoxRegistry.Entry("127.0.0.1:1", 1_000));
--- a/gaugehollow/src/test/java/org/gaugehollow/box/CallerRelayTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/CallerRelayTest.java
@@ -33,7 +33,7 @@
 
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 
-/** Requests that reach a box which the store does not answer are answered over its peers. */
+/** Guards against failing requests that a peer could answer, and against wrong outcome reports. */
 class CallerRelayTest
 {
     private static final HttpMessage REQUEST = new HttpMessage("POST", "/queue/00000000000000aa", "a=b",
--- a/gaugehollow/src/test/java/org/gaugehollow/box/CustomerIsolationTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/CustomerIsolationTest.java
@@ -30,7 +30,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 
-/** A customer's jobs are there for its own callers only. */
+/** Guards against customers seeing, cancelling or reusing the jobs of other customers. */
 class CustomerIsolationTest
 {
     private static final String ID = "00000000000000aa";
@@ -48,13 +48,13 @@
                 @Override
                 public void onJobWritten(String job)
                 {
-                    // nobody waits for it here
+                    // not needed here
                 }
 
                 @Override
                 public void onJobCancelled(String job)
                 {
-                    // nobody waits for it here
+                    // not needed here
                 }
             }, events, new Metrics());
 
@@ -95,7 +95,7 @@
         assertThat(box.state(NORTH, ID)).isEqualTo(JobState.CANCELLED);
     }
 
-    /** Its cancellation is kept for a record that may still come, but concerns only its own. */
+    /** Guards against a stored early cancellation that cancels the job of another customer. */
     @Test
     void cancellationBeforeRecordAppliesOnlyToOwnCustomer() throws InterruptedException
     {
@@ -113,7 +113,7 @@
         assertThat(codeOf(() -> submit(SOUTH))).isEqualTo(ResultCode.JOB_CONFLICT);
     }
 
-    /** The customer's own write may have taken effect, so "not run" would not be true. */
+    /** Guards against reporting "not run" although the write may have taken effect. */
     @Test
     void outcomeIsUnknownWhenOwnerOfIdCannotBeRead() throws InterruptedException
     {
--- a/gaugehollow/src/test/java/org/gaugehollow/box/FreshConfigServiceTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/FreshConfigServiceTest.java
@@ -26,7 +26,7 @@
 
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 
-/** By which configuration a box answers that the store does not answer, or only just again. */
+/** Guards against answering requests from a stale configuration during and after a store outage. */
 class FreshConfigServiceTest
 {
     private static final HttpMessage REQUEST = new HttpMessage("GET", "/q/", "", new DefaultHttpHeaders(),
@@ -49,13 +49,13 @@
         @Override
         public void onRemoved(String key, long revision)
         {
-            throw new AssertionError("nothing is removed here");
+            throw new AssertionError("unexpected removal");
         }
 
         @Override
         public void onListed(long revision)
         {
-            throw new AssertionError("nothing is listed here");
+            throw new AssertionError("unexpected listing");
         }
     });
     private final CallerService service = new FreshConfigService(request -> HttpReply.json(200, config.get()),
@@ -90,11 +90,7 @@
         assertThat(failureCode()).isEqualTo(ResultCode.CONFIG_MAY_BE_OLD);
     }
 
-    /**
-     * On a played day the store was back for a box at 13.04 s, which then let in two jobs, one with a
-     * key that the box had been told over a peer to be gone: its watch brought the configuration at
-     * 13.30 s.
-     */
+    /** Guards against accepting jobs with a removed API key before the watch has caught up. */
     @Test
     void requestsAreRejectedAfterOutageUntilConfigIsRead() throws InterruptedException
     {
--- a/gaugehollow/src/test/java/org/gaugehollow/box/JobIntakeTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/JobIntakeTest.java
@@ -37,7 +37,7 @@
 import org.gaugehollow.time.SteadyClock;
 import org.junit.jupiter.api.Test;
 
-/** Accepting, cancelling and showing jobs, with a store whose answers get lost. */
+/** Guards against lost, duplicated or wrongly reported jobs when store replies are lost. */
 class JobIntakeTest
 {
     private static final String ID = "00000000000000aa";
@@ -243,10 +243,7 @@
         assertThat(box.pending(OTHER_QUEUE)).isEqualTo(0);
     }
 
-    /**
-     * The caller was told that there is no such job, and the submission of before, which had got no
-     * answer, was carried out after that: the job ran.
-     */
+    /** Guards against running a job whose delayed record is written after its cancellation. */
     @Test
     void cancellationOfMissingJobAppliesToDelayedSubmission() throws InterruptedException
     {
@@ -281,7 +278,7 @@
         assertThat(cancelled).containsExactly(ID);
     }
 
-    /** Each call to the store is paid for, and a slow one holds up the caller. */
+    /** Guards against redundant store calls. */
     @Test
     void cancellationListsTheRecordOnce() throws InterruptedException
     {
--- a/gaugehollow/src/test/java/org/gaugehollow/box/NoOpJobListener.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/NoOpJobListener.java
@@ -4,18 +4,18 @@
  */
 package org.gaugehollow.box;
 
-/** Tells nobody. */
+/** A listener that ignores all notifications. */
 final class NoOpJobListener implements JobListener
 {
     @Override
     public void onJobWritten(String job)
     {
-        // nobody is told
+        // ignored
     }
 
     @Override
     public void onJobCancelled(String job)
     {
-        // nobody is told
+        // ignored
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/box/OutcomeAcrossBoxesTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/OutcomeAcrossBoxesTest.java
@@ -42,8 +42,8 @@
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 
 /**
- * What is said of a request that was tried more than once: by one box over its peers, or by a
- * caller at one box after the other.
+ * Guards against wrong outcome reports for a request that was attempted more than once, through
+ * peers or at several boxes.
  */
 class OutcomeAcrossBoxesTest
 {
@@ -57,7 +57,7 @@
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
     private final FakeStore store = new FakeStore();
 
-    /** One box's way to the store: writes stay open and may be done later, or all calls are refused. */
+    /** A store whose writes time out and can be applied later, or that rejects all calls. */
     private final class UnansweredStore extends FakeStore
     {
         private final List<StoreTransaction> unansweredWrites = new ArrayList<>();
@@ -126,10 +126,7 @@
         return assertThrows(GaugehollowException.class, call::run).code();
     }
 
-    /**
-     * A box that the store refuses speaks of the try that it was handed. A write that another box left
-     * open is done later all the same, and no request says that there was an earlier try.
-     */
+    /** A box reports only its own attempt: it cannot know of an unanswered write of another box. */
     @Test
     void rejectionAtOneBoxDoesNotCoverUnansweredWriteOfAnother() throws InterruptedException
     {
@@ -147,7 +144,6 @@
         assertThat(intake(store).state(JobScope.of(QUEUE), ID)).isEqualTo(JobState.QUEUED);
     }
 
-    /** A cancellation left open by one box is done later, whatever another box said in between. */
     @Test
     void unansweredCancellationTakesEffectAfterRejectionAtAnotherBox() throws InterruptedException
     {
@@ -181,7 +177,7 @@
         };
     }
 
-    /** A relay whose peers refuse with these codes, in this order, whichever is asked first. */
+    /** Creates a relay whose peers fail with these codes in call order. */
     private CallerRelay relay(ResultCode own, ResultCode... peerCodes)
     {
         AtomicInteger nextPeer = new AtomicInteger();
@@ -238,11 +234,7 @@
         }
     }
 
-    /**
-     * This box's own write had no answer, and then its way to a peer could not be made, because an
-     * address in the list of boxes cannot be read. The caller was told the latter, which says that
-     * nothing was run.
-     */
+    /** Guards against reporting the failed peer lookup, which implies that nothing was run. */
     @Test
     void outcomeStaysUnknownWhenPeersCannotBeFound()
     {
--- a/gaugehollow/src/test/java/org/gaugehollow/box/PeerFailureTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/PeerFailureTest.java
@@ -37,7 +37,7 @@
 
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 
-/** What is said of a request whose peer ends, before and after it sent the write. */
+/** Guards against wrong outcome reports when a peer fails before or after its write. */
 class PeerFailureTest
 {
     private static final InetSocketAddress ANY_PORT = new InetSocketAddress("127.0.0.1", 0);
@@ -68,7 +68,7 @@
         return new PeerLink(loops, target, events, new Metrics());
     }
 
-    /** The code for a request that the store refuses here and that goes to one peer. */
+    /** Returns the failure code of a request that the local store rejects and a peer handles. */
     private ResultCode relayFailureCode(PeerLink link)
     {
         CallerRelay relay = new CallerRelay(request ->
@@ -91,7 +91,7 @@
         assertThat(latch.await(MAX_WAIT_SECONDS, TimeUnit.SECONDS)).isTrue();
     }
 
-    /** Runs beside a call, once the peer has reached a certain point. */
+    /** Runs concurrently with a call. */
     private interface Action
     {
         void run() throws InterruptedException;
@@ -235,7 +235,7 @@
         CallerService service = request ->
         {
             write();
-            throw new InterruptedException("the process stops");
+            throw new InterruptedException("interrupted");
         };
         try (PeerServer peer = peer(service); PeerLink link = link(peer.address()))
         {
@@ -272,7 +272,7 @@
     {
         try (Socket socket = listener.accept())
         {
-            // a byte of the call has come, so the link has begun to send
+            // receiving a byte shows that the link has started to send
             assertThat(socket.getInputStream().read()).isAtLeast(0);
         }
         catch (IOException e)
@@ -281,7 +281,7 @@
         }
     }
 
-    /** A link that was used before finds that its peer has ended, and nobody listens any more. */
+    /** Covers a link that has been used before and whose peer no longer listens. */
     @Test
     void peerStoppedBetweenCallsHandlesNothing()
     {
--- a/gaugehollow/src/test/java/org/gaugehollow/box/RejectedWriteTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/RejectedWriteTest.java
@@ -27,12 +27,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * A task was started although every try of its caller had been answered "not run". The box had sent
- * the job's record, got no answer for 350 ms and sent it again beside the first; the store turned
- * the second one away at once, and that stood for both. The first was carried out seconds later.
- * The box's line told it: "STORE_UNAVAILABLE: the store answered 503; 1 tries still open", and 28 s
- * later "TASK_STARTED". On three days of lost answers and boxes turned away, 230 tasks were started
- * after such a refusal.
+ * Guards against reporting "not run" when a retry is rejected while an earlier unanswered write may
+ * still take effect.
  */
 class RejectedWriteTest
 {
@@ -40,9 +36,8 @@
     private static final QueueSpec QUEUE = new QueueSpec("urgent", "service", 0, 2, 250, 1.5, null);
     private static final JobSpec JOB = new JobSpec("text", List.of(new StepSpec(1, 1, 1, 0, 1, List.of(),
             false, false, false, null, null, 0, false, false, null, 0, false, 0)), 0, 0, 0);
-    /** How long a box waits for an answer of the store. */
     private static final int STORE_TIMEOUT_MILLIS = 900;
-    /** Before the second try, which goes out after 350 ms. */
+    /** Shorter than the delay of the second attempt. */
     private static final int REJECT_AFTER_MILLIS = 200;
 
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
@@ -55,7 +50,7 @@
                 events, new Metrics());
     }
 
-    /** The next write gets no answer; those that come after a moment are turned away. */
+    /** Delays the next write until its timeout and rejects the later ones. */
     private void holdFirstWriteAndRejectLaterOnes()
     {
         store.holdWrites(1, STORE_TIMEOUT_MILLIS);
--- a/gaugehollow/src/test/java/org/gaugehollow/box/StorePeerFinderTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/StorePeerFinderTest.java
@@ -16,7 +16,7 @@
 import org.gaugehollow.time.SteadyClock;
 import org.junit.jupiter.api.Test;
 
-/** Which peers a box turns to while the store does not answer it. */
+/** Guards against relaying to peers without store access and against slow lookups. */
 class StorePeerFinderTest
 {
     private static final Set<String> PEERS = Set.of("bole-1", "bole-2", "bole-3");
