--- a/gaugehollow/src/main/java/org/gaugehollow/box/BoxRegistry.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/BoxRegistry.java
@@ -220,10 +220,10 @@
 
     private boolean isAnyEstablished(String except, Predicate<Registration> condition)
     {
-        long now = SteadyClock.nanos();
+        long nowNanos = SteadyClock.nanos();
         return registrations.entrySet().stream().filter(peer -> !peer.getKey().equals(except))
                 .map(Map.Entry::getValue)
-                .filter(registration -> now - registration.knownNanos() > MIN_REGISTERED_NANOS)
+                .filter(registration -> nowNanos - registration.knownNanos() > MIN_REGISTERED_NANOS)
                 .anyMatch(condition);
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/box/FreshConfigService.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/FreshConfigService.java
@@ -37,7 +37,7 @@
         if (mayBeStale.getAsBoolean())
         {
             throw new GaugehollowException(ResultCode.CONFIG_MAY_BE_OLD,
-                    "the store is unresponsive, or the configuration was not yet read again after an outage");
+                    "the store is unresponsive, or the configuration has not been reloaded since an outage");
         }
         return service.answer(request);
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/JobBox.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/JobBox.java
@@ -91,14 +91,16 @@
 
     /** Creates the service that answers callers. */
     @FunctionalInterface
-    public interface CallerPort
+    public interface CallerServiceFactory
     {
         /**
+         * Creates the service.
+         *
          * @param config supplier of the newest configuration
          * @param intake operations on jobs
          * @return the service that answers callers' requests
          */
-        CallerService open(Supplier<CellConfig> config, JobIntake intake);
+        CallerService create(Supplier<CellConfig> config, JobIntake intake);
     }
 
     /**
@@ -106,9 +108,10 @@
      *
      * @param settings validated settings
      * @param openPlatform opens the platform
-     * @param callerPort creates the service for callers
+     * @param serviceFactory creates the service for callers
      */
-    public JobBox(JobBoxSettings settings, Function<Parts, CellPlatform> openPlatform, CallerPort callerPort)
+    public JobBox(JobBoxSettings settings, Function<Parts, CellPlatform> openPlatform,
+            CallerServiceFactory serviceFactory)
     {
         this.settings = settings;
         this.id = settings.box() + '~' + UUID.randomUUID().toString().substring(0, ID_SUFFIX_LENGTH);
@@ -131,7 +134,7 @@
         this.election = new OwnerElection(id, platform, config, ownerMonitor, registry, adviceDispatcher,
                 SCORE, supervisor.child("owner"), settings.statusSeconds(), events);
         JobIntake intake = new JobIntake(store, new PeerJobNotice(registry, election), events, metrics);
-        CallerService service = new FreshConfigService(callerPort.open(config, intake), configProbe);
+        CallerService service = new FreshConfigService(serviceFactory.create(config, intake), configProbe);
         this.peerServer = new PeerServer(loops, NetAddress.parse(settings.peerAddress()), events,
                 call -> handlePeerCall(call, service));
         StorePeerFinder storePeers = new StorePeerFinder(registry::peers, new PeerStoreProbe(registry),
--- a/gaugehollow/src/main/java/org/gaugehollow/box/JobIntake.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/JobIntake.java
@@ -143,8 +143,8 @@
     /** Throws {@code JOB_CONFLICT} if the id belongs to another customer's job. */
     private void requireSameCustomer(JobScope scope, String id) throws InterruptedException
     {
-        Optional<String> owner = readAfterWrite(id).map(JobRecord::customer);
-        if (owner.isPresent() && !owner.get().equals(scope.customer()))
+        Optional<String> jobCustomer = readAfterWrite(id).map(JobRecord::customer);
+        if (jobCustomer.isPresent() && !jobCustomer.get().equals(scope.customer()))
         {
             events.record(EventType.JOB_REFUSED, id,
                     ResultCode.JOB_CONFLICT + ": requested by " + scope.customer());
@@ -174,7 +174,7 @@
         catch (GaugehollowException e)
         {
             throw new GaugehollowException(ResultCode.STORE_OUTCOME_UNKNOWN,
-                    "failed to read the customer of job " + id + ": " + e.getMessage(), e);
+                    "failed to read the job record after the write: " + e.getMessage(), e);
         }
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/box/StorePeerFinder.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/StorePeerFinder.java
@@ -88,23 +88,23 @@
     List<String> find() throws InterruptedException
     {
         Round round = currentRound();
-        boolean answered = round.firstMatchOrEnd.await(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
-        return answered ? new ArrayList<>(round.peersWithAccess) : List.of();
+        boolean completed = round.firstMatchOrEnd.await(MAX_WAIT_MILLIS, TimeUnit.MILLISECONDS);
+        return completed ? new ArrayList<>(round.peersWithAccess) : List.of();
     }
 
     private synchronized Round currentRound()
     {
-        long now = nanoTime.getAsLong();
-        if (lastRound == null || now - lastRound.startNanos > ROUND_VALIDITY_NANOS)
+        long nowNanos = nanoTime.getAsLong();
+        if (lastRound == null || nowNanos - lastRound.startNanos > ROUND_VALIDITY_NANOS)
         {
-            lastRound = startRound(peers.get(), now);
+            lastRound = startRound(peers.get(), nowNanos);
         }
         return lastRound;
     }
 
-    private Round startRound(Collection<String> peerIds, long now)
+    private Round startRound(Collection<String> peerIds, long nowNanos)
     {
-        Round round = new Round(now, peerIds.size());
+        Round round = new Round(nowNanos, peerIds.size());
         if (peerIds.isEmpty())
         {
             round.firstMatchOrEnd.countDown();
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/CommandResult.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/CommandResult.java
@@ -11,7 +11,7 @@
     DONE,
     /** Rejected: the worker has seen a higher fencing token. */
     FENCED,
-    /** Rejected: a run with the same or a higher number has ended or was stopped on the worker. */
+    /** Rejected: a run of the task with the same or a higher number has ended or was stopped. */
     OLD_RUN,
     /** Rejected: the deadline has passed on the worker's clock. */
     LATE,
--- a/gaugehollow/src/test/java/org/gaugehollow/box/CustomerIsolationTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/CustomerIsolationTest.java
@@ -115,7 +115,7 @@
 
     /** Guards against reporting "not run" although the write may have taken effect. */
     @Test
-    void outcomeIsUnknownWhenOwnerOfIdCannotBeRead() throws InterruptedException
+    void outcomeIsUnknownWhenCustomerOfJobCannotBeRead() throws InterruptedException
     {
         submit(NORTH);
         store.failReads(true);
--- a/gaugehollow/src/test/java/org/gaugehollow/box/OutcomeAcrossBoxesTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/OutcomeAcrossBoxesTest.java
@@ -64,7 +64,7 @@
         private boolean rejecting;
         private int calls;
 
-        private void countCall()
+        private void onCall()
         {
             if (rejecting)
             {
@@ -76,21 +76,21 @@
         @Override
         public synchronized Optional<StoredValue> get(String key)
         {
-            countCall();
+            onCall();
             return store.get(key);
         }
 
         @Override
         public synchronized StoreListing list(String prefix)
         {
-            countCall();
+            onCall();
             return store.list(prefix);
         }
 
         @Override
         public synchronized Optional<Long> commit(StoreTransaction transaction)
         {
-            countCall();
+            onCall();
             unansweredWrites.add(transaction);
             throw new GaugehollowException(ResultCode.STORE_OUTCOME_UNKNOWN, "no answer in time");
         }
--- a/gaugehollow/src/test/java/org/gaugehollow/box/PeerFailureTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/PeerFailureTest.java
@@ -260,10 +260,10 @@
     @Test
     void connectionClosedAfterSendLeavesOutcomeUnknown() throws IOException
     {
-        try (ServerSocket ending = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-                PeerLink link = link((InetSocketAddress) ending.getLocalSocketAddress()))
+        try (ServerSocket listener = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
+                PeerLink link = link((InetSocketAddress) listener.getLocalSocketAddress()))
         {
-            Thread.ofVirtual().start(() -> acceptAndClose(ending));
+            Thread.ofVirtual().start(() -> acceptAndClose(listener));
             assertThat(relayFailureCode(link)).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
         }
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/box/StorePeerFinderTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/StorePeerFinderTest.java
@@ -71,7 +71,7 @@
     }
 
     @Test
-    void concurrentCallsShareOneRound() throws InterruptedException
+    void callsWithinValidityShareOneRound() throws InterruptedException
     {
         for (int i = 0; i < 10; i++)
         {
