--- a/gaugehollow/src/main/java/org/gaugehollow/box/CallerRelay.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/CallerRelay.java
@@ -24,58 +24,59 @@
 import org.gaugehollow.net.HttpReply;
 
 /**
- * Answers callers, over a peer where the store answers that peer and not this box. The peer decides
- * by its own configuration and writes under the same condition, so it does not matter whether an
- * earlier try took effect. Where no peer helps either, the refusal ends the caller's connection, so
- * that the caller comes back through another box.
+ * Answers callers' requests, relaying them to a peer with store access if this box has none. The
+ * peer uses its own configuration and the same write condition, so a relayed request is safe even
+ * if an earlier attempt took effect. If no peer can help, the error reply closes the caller's
+ * connection so that the caller reconnects to another box.
  */
 final class CallerRelay implements HttpHandler
 {
-    /** How long a peer that did not help is left out. */
-    private static final long PAUSE_NANOS = TimeUnit.SECONDS.toNanos(1);
-    private static final int MOST_PEERS = 2;
+    private static final long PEER_BACKOFF_NANOS = TimeUnit.SECONDS.toNanos(1);
+    private static final int MAX_PEERS = 2;
 
-    /** One way to a peer. */
+    /** A peer to which requests can be relayed. */
     @FunctionalInterface
     interface Peer
     {
         /**
-         * @param request a caller's request
+         * Relays a request to the peer.
+         *
+         * @param request the caller's request
          * @return the peer's answer
-         * @throws InterruptedException if the process stops
-         * @throws GaugehollowException {@code PEER_UNREACHABLE} if the request was surely not sent,
-         *             {@code PEER_LOST} if it may have been, or the code of the peer's refusal
+         * @throws InterruptedException if the thread is interrupted
+         * @throws GaugehollowException {@code PEER_UNREACHABLE} if the request was not sent,
+         *             {@code PEER_LOST} if it may have been sent, or the peer's own error code
          */
         HttpReply answer(HttpMessage request) throws InterruptedException;
     }
 
-    /** Finds the peers that may help. */
+    /** Finds peers that may be able to answer a request. */
     @FunctionalInterface
     interface PeerFinder
     {
         /**
-         * @return ways to the peers that may help, by the boxes' ids
-         * @throws InterruptedException if the process stops
+         * @return the peers by box id
+         * @throws InterruptedException if the thread is interrupted
          */
         Map<String, Peer> find() throws InterruptedException;
     }
 
-    private final CallerService own;
-    private final PeerFinder peers;
+    private final CallerService localService;
+    private final PeerFinder peerFinder;
     private final EventLog events;
     private final LongSupplier nanoTime;
-    private final Map<String, Long> pausedSince = new ConcurrentHashMap<>();
+    private final Map<String, Long> backoffStarts = new ConcurrentHashMap<>();
 
     /**
-     * @param own this box's service
-     * @param peers finds the boxes to ask
-     * @param events where each relayed request is recorded
-     * @param nanoTime a monotonic clock
+     * @param localService answers requests on this box
+     * @param peerFinder finds the peers to relay to
+     * @param events event log
+     * @param nanoTime monotonic clock in nanoseconds
      */
-    CallerRelay(CallerService own, PeerFinder peers, EventLog events, LongSupplier nanoTime)
+    CallerRelay(CallerService localService, PeerFinder peerFinder, EventLog events, LongSupplier nanoTime)
     {
-        this.own = own;
-        this.peers = peers;
+        this.localService = localService;
+        this.peerFinder = peerFinder;
         this.events = events;
         this.nanoTime = nanoTime;
     }
@@ -89,8 +90,8 @@
         }
         catch (GaugehollowException e)
         {
-            recordRefusal(exchange.request(), e);
-            if (!mayHelpElsewhere(e.code()))
+            recordFailure(exchange.request(), e);
+            if (!canPeerHelp(e.code()))
             {
                 throw e;
             }
@@ -98,92 +99,93 @@
         }
     }
 
-    /** Recorded before the answer is sent: a box may die directly after that. */
-    private void recordRefusal(HttpMessage request, GaugehollowException e)
+    /** Must run before the reply is sent, so that the event is logged even if the box crashes then. */
+    private void recordFailure(HttpMessage request, GaugehollowException e)
     {
         events.record(EventType.CALL_REFUSED, request.path(), request.method() + ' ' + e.code().httpStatus()
                 + ' ' + e.code() + ", " + e.code().outcome().label() + ": " + e.getMessage());
     }
 
-    /** Answers a request, over a peer if need be. */
+    /** Answers a request locally or, if that fails and a peer can help, through a peer. */
     HttpReply answer(HttpMessage request) throws InterruptedException
     {
         try
         {
-            return own.answer(request);
+            return localService.answer(request);
         }
         catch (GaugehollowException e)
         {
-            if (!mayHelpElsewhere(e.code()))
+            if (!canPeerHelp(e.code()))
             {
                 throw e;
             }
-            return overPeers(request, e);
+            return relayToPeers(request, e);
         }
     }
 
-    private HttpReply overPeers(HttpMessage request, GaugehollowException refusal) throws InterruptedException
+    private HttpReply relayToPeers(HttpMessage request, GaugehollowException localFailure)
+            throws InterruptedException
     {
-        TryOutcomes tries = new TryOutcomes();
-        tries.add(refusal);
-        for (Map.Entry<String, Peer> peer : peersToAsk(request))
+        TryOutcomes attempts = new TryOutcomes();
+        attempts.add(localFailure);
+        for (Map.Entry<String, Peer> peer : selectPeers(request))
         {
             try
             {
                 HttpReply reply = peer.getValue().answer(request);
-                record(request, peer.getKey(), String.valueOf(reply.status()));
+                recordRelay(request, peer.getKey(), String.valueOf(reply.status()));
                 return reply;
             }
             catch (GaugehollowException e)
             {
-                record(request, peer.getKey(), e.code() + ": " + e.getMessage());
-                tries.add(asStoreTrouble(e));
-                if (!mayHelpElsewhere(e.code()))
+                recordRelay(request, peer.getKey(), e.code() + ": " + e.getMessage());
+                attempts.add(asStoreFailure(e));
+                if (!canPeerHelp(e.code()))
                 {
                     break;
                 }
-                pausedSince.put(peer.getKey(), nanoTime.getAsLong());
+                backoffStarts.put(peer.getKey(), nanoTime.getAsLong());
             }
         }
-        throw tries.failure();
+        throw attempts.failure();
     }
 
-    private void record(HttpMessage request, String peer, String outcome)
+    private void recordRelay(HttpMessage request, String peer, String outcome)
     {
         events.record(EventType.CALL_RELAYED, request.path(), "over " + peer + ": " + outcome);
     }
 
-    /** Where peers cannot be found, what this box knows of its own try still is the answer. */
+    /** Returns no peers if the lookup fails, so that the local attempt's outcome is reported. */
     private Map<String, Peer> findPeers(HttpMessage request) throws InterruptedException
     {
         try
         {
-            return peers.find();
+            return peerFinder.find();
         }
         catch (GaugehollowException e)
         {
-            record(request, "nobody", e.code() + ": " + e.getMessage());
+            recordRelay(request, "nobody", e.code() + ": " + e.getMessage());
             return Map.of();
         }
     }
 
-    private List<Map.Entry<String, Peer>> peersToAsk(HttpMessage request) throws InterruptedException
+    private List<Map.Entry<String, Peer>> selectPeers(HttpMessage request) throws InterruptedException
     {
-        Map<String, Peer> known = findPeers(request);
-        pausedSince.values().removeIf(since -> nanoTime.getAsLong() - since > PAUSE_NANOS);
-        List<Map.Entry<String, Peer>> usable = new ArrayList<>();
-        for (Map.Entry<String, Peer> peer : known.entrySet())
+        Map<String, Peer> found = findPeers(request);
+        backoffStarts.values().removeIf(start -> nanoTime.getAsLong() - start > PEER_BACKOFF_NANOS);
+        List<Map.Entry<String, Peer>> candidates = new ArrayList<>();
+        for (Map.Entry<String, Peer> peer : found.entrySet())
         {
-            if (!pausedSince.containsKey(peer.getKey()))
+            if (!backoffStarts.containsKey(peer.getKey()))
             {
-                usable.add(peer);
+                candidates.add(peer);
             }
         }
-        Collections.shuffle(usable);
-        return usable.subList(0, Math.min(MOST_PEERS, usable.size()));
+        Collections.shuffle(candidates);
+        return candidates.subList(0, Math.min(MAX_PEERS, candidates.size()));
     }
 
-    private static boolean mayHelpElsewhere(ResultCode code)
+    private static boolean canPeerHelp(ResultCode code)
     {
         return switch (code)
         {
@@ -194,10 +196,10 @@
         };
     }
 
-    /** That a peer could not help either is told as trouble with the store. */
-    private static GaugehollowException asStoreTrouble(GaugehollowException e)
+    /** Maps a peer's failure that left the request not run to {@code STORE_UNAVAILABLE}. */
+    private static GaugehollowException asStoreFailure(GaugehollowException e)
     {
-        boolean surelyNotRun = mayHelpElsewhere(e.code()) && e.code().outcome() == Outcome.NOT_RUN;
-        return surelyNotRun ? new GaugehollowException(ResultCode.STORE_UNAVAILABLE, e.getMessage(), e) : e;
+        boolean notRun = canPeerHelp(e.code()) && e.code().outcome() == Outcome.NOT_RUN;
+        return notRun ? new GaugehollowException(ResultCode.STORE_UNAVAILABLE, e.getMessage(), e) : e;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/ConfigProbe.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/ConfigProbe.java
@@ -12,39 +12,38 @@
 import org.gaugehollow.supervise.SupervisedTask;
 
 /**
- * Reads the configuration again and again while the store does not answer this box, and until one
- * reading was answered after that; the first answer ends the silence. Readings do not wait for each
- * other: one that was sent before the return may never be answered. Some other call is often
- * answered first, 0.3 s before the watch brings what has changed meanwhile; decided by the old
- * configuration in between, a key was let in that had been taken away 3 s before.
+ * Polls the configuration during a store outage and until one read has succeeded after it. Until
+ * then the cached configuration may be stale, because other calls can succeed before the watch
+ * delivers the changes made during the outage. Reads run concurrently, since a read sent during the
+ * outage may never be answered.
  */
 final class ConfigProbe implements SupervisedTask, BooleanSupplier
 {
-    private static final int PERIOD_MILLIS = 200;
+    private static final int INTERVAL_MILLIS = 200;
 
     private final MonitoredStore store;
     private final String key;
-    private final KeyFollower.Listener config;
-    /** The last silence after whose begin the configuration was read. */
-    private long readSilence;
+    private final KeyFollower.Listener listener;
+    /** Number of the last outage since whose start the configuration was read. */
+    private long lastReadOutage;
 
     /**
-     * @param store the store
-     * @param key where the configuration lies
-     * @param config takes what is read
+     * @param store monitored store
+     * @param key store key of the configuration
+     * @param listener receives the configuration read
      */
-    ConfigProbe(MonitoredStore store, String key, KeyFollower.Listener config)
+    ConfigProbe(MonitoredStore store, String key, KeyFollower.Listener listener)
     {
         this.store = store;
         this.key = key;
-        this.config = config;
+        this.listener = listener;
     }
 
-    /** Whether the configuration may have changed without this box knowing of it. */
+    /** Returns whether the cached configuration may be stale. */
     @Override
     public boolean getAsBoolean()
     {
-        return store.isUnresponsive() || store.outageCount() > readSilence();
+        return store.isUnresponsive() || store.outageCount() > lastReadOutage();
     }
 
     @Override
@@ -56,22 +55,22 @@
             {
                 Thread.ofVirtual().name("config-probe").start(this::read);
             }
-            Thread.sleep(PERIOD_MILLIS);
+            Thread.sleep(INTERVAL_MILLIS);
         }
     }
 
     /** Reads the configuration once. */
     void read()
     {
-        long silence = store.outageCount();
+        long outage = store.outageCount();
         try
         {
-            store.get(key).ifPresent(value -> config.onPut(key, value.value(), value.modRevision()));
-            noteRead(silence);
+            store.get(key).ifPresent(value -> listener.onPut(key, value.value(), value.modRevision()));
+            recordRead(outage);
         }
         catch (GaugehollowException e)
         {
-            // the store is still silent, as it has noted itself
+            // the next interval retries; MonitoredStore has recorded the failure
         }
         catch (InterruptedException e)
         {
@@ -79,13 +78,13 @@
         }
     }
 
-    private synchronized long readSilence()
+    private synchronized long lastReadOutage()
     {
-        return readSilence;
+        return lastReadOutage;
     }
 
-    private synchronized void noteRead(long silence)
+    private synchronized void recordRead(long outage)
     {
-        readSilence = Math.max(readSilence, silence);
+        lastReadOutage = Math.max(lastReadOutage, outage);
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/JobIntake.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/JobIntake.java
@@ -33,38 +33,38 @@
 import com.fasterxml.jackson.core.type.TypeReference;
 
 /**
- * What callers ask about jobs. Every box answers alike, from the store: accepting a job is one
- * conditional write of its record, so neither an owner nor a peer is needed.
+ * Accepts, cancels and reports jobs. Every box can serve every call from the store alone: accepting
+ * a job is one conditional write of its record, so neither the owner nor a peer is involved.
  */
 public final class JobIntake
 {
     private static final long NANOS_PER_MILLI = 1_000_000L;
     private static final long ANSWER_MARGIN_NANOS = 150 * NANOS_PER_MILLI;
-    private static final int RETRY_MILLIS = 30;
-    private static final TypeReference<Map<String, Integer>> COUNTS = new TypeReference<>()
+    private static final int RETRY_DELAY_MILLIS = 30;
+    private static final TypeReference<Map<String, Integer>> COUNTS_TYPE = new TypeReference<>()
     {
     };
 
     private final MonitoredStore store;
-    private final JobListener notices;
+    private final JobListener listener;
     private final EventLog events;
     private final Metrics metrics;
 
     /**
-     * @param store the platform's store
-     * @param notices is told of each job whose record or cancellation this box wrote
-     * @param events where each decision is recorded
-     * @param metrics counts and times the calls
+     * @param store monitored store of the platform
+     * @param listener notified of each job record or cancellation written by this box
+     * @param events event log
+     * @param metrics receives the count and duration of calls
      */
-    public JobIntake(MonitoredStore store, JobListener notices, EventLog events, Metrics metrics)
+    public JobIntake(MonitoredStore store, JobListener listener, EventLog events, Metrics metrics)
     {
         this.store = store;
-        this.notices = notices;
+        this.listener = listener;
         this.events = events;
         this.metrics = metrics;
     }
 
-    /** One call of a caller. */
+    /** An operation whose duration and result code are measured. */
     private interface Call<T>
     {
         T run() throws InterruptedException;
@@ -72,7 +72,7 @@
 
     private <T> T timed(String name, Call<T> call) throws InterruptedException
     {
-        long begun = SteadyClock.nanos();
+        long startNanos = SteadyClock.nanos();
         ResultCode code = ResultCode.INTERNAL;
         try
         {
@@ -87,26 +87,26 @@
         }
         finally
         {
-            metrics.jobCall(name, code.name(), SteadyClock.nanos() - begun);
+            metrics.jobCall(name, code.name(), SteadyClock.nanos() - startNanos);
         }
     }
 
-    /** One conditional write, which may be sent again under the same condition. */
+    /** A conditional write that is safe to retry. */
     private interface Write
     {
         void run() throws InterruptedException;
     }
 
     /**
-     * Accepts a job; one whose id is known already stays as it is.
+     * Accepts a job. A job that is already stored under the id is left unchanged.
      *
-     * @param scope the queue, and whose job it is
-     * @param id the job's id
-     * @param job what is to be run
-     * @param deadlineNanos until when the caller waits, on {@link SteadyClock#nanos}
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException {@code STORE_UNAVAILABLE} if this call surely did not accept the job
-     *             and never will, {@code STORE_OUTCOME_UNKNOWN} if it may have or may yet,
+     * @param scope queue and customer of the job
+     * @param id id of the job
+     * @param job specification of the job
+     * @param deadlineNanos the caller's deadline on {@link SteadyClock#nanos}
+     * @throws InterruptedException if the thread is interrupted
+     * @throws GaugehollowException {@code STORE_UNAVAILABLE} if this call did not and will not accept
+     *             the job, {@code STORE_OUTCOME_UNKNOWN} if it may have accepted it or may still do so,
      *             {@code JOB_CONFLICT} if the id belongs to another customer's job
      */
     public void submit(JobScope scope, String id, JobSpec job, long deadlineNanos) throws InterruptedException
@@ -117,71 +117,70 @@
     private boolean accept(JobScope scope, String id, JobSpec job, long deadlineNanos)
             throws InterruptedException
     {
-        refuseWhileSilent(id);
+        requireResponsiveStore(id);
         byte[] record = JobCodec.writeRecord(
                 new JobRecord(id, scope.queue(), job, System.currentTimeMillis(), scope.customer()));
         StoreTransaction write = new StoreTransaction().require(JobKeys.job(id), 0).put(JobKeys.job(id),
                 record);
-        boolean[] fresh = new boolean[1];
-        writeUntilKnown(() -> fresh[0] = HedgedCall.write(() -> store.commit(write)).isPresent(), id,
+        boolean[] created = new boolean[1];
+        writeUntilSettled(() -> created[0] = HedgedCall.write(() -> store.commit(write)).isPresent(), id,
                 deadlineNanos);
-        if (!fresh[0] && scope.customer() != null)
+        if (!created[0] && scope.customer() != null)
         {
-            refuseAnothersId(scope, id);
+            requireSameCustomer(scope, id);
         }
-        notices.onJobWritten(id);
-        events.record(EventType.JOB_ACCEPTED, id,
-                scope.queue().name() + of(scope.customer()) + (fresh[0] ? "" : ", known already"));
-        return fresh[0];
+        listener.onJobWritten(id);
+        events.record(EventType.JOB_ACCEPTED, id, scope.queue().name() + customerSuffix(scope.customer())
+                + (created[0] ? "" : ", already known"));
+        return created[0];
     }
 
-    private static String of(String customer)
+    private static String customerSuffix(String customer)
     {
         return customer == null ? "" : " of " + customer;
     }
 
-    /** An id that another customer's job has is not this caller's; its own job was not taken. */
-    private void refuseAnothersId(JobScope scope, String id) throws InterruptedException
+    /** Throws {@code JOB_CONFLICT} if the id belongs to another customer's job. */
+    private void requireSameCustomer(JobScope scope, String id) throws InterruptedException
     {
-        Optional<String> owner = readAfterWrite(id).map(JobRecord::customer);
-        if (owner.isPresent() && !owner.get().equals(scope.customer()))
+        Optional<String> jobCustomer = readAfterWrite(id).map(JobRecord::customer);
+        if (jobCustomer.isPresent() && !jobCustomer.get().equals(scope.customer()))
         {
             events.record(EventType.JOB_REFUSED, id,
-                    ResultCode.JOB_CONFLICT + ": asked for by " + scope.customer());
-            throw new GaugehollowException(ResultCode.JOB_CONFLICT, "the id " + id + " is taken");
+                    ResultCode.JOB_CONFLICT + ": requested by " + scope.customer());
+            throw new GaugehollowException(ResultCode.JOB_CONFLICT, "job id " + id + " is already in use");
         }
     }
 
-    /**
-     * Nothing is sent to a store that does not answer: the caller is told at once when to come back.
-     */
-    private void refuseWhileSilent(String id)
+    /** Fails fast with a retryable error, without calling the store, while it is unresponsive. */
+    private void requireResponsiveStore(String id)
     {
         if (store.isUnresponsive())
         {
-            events.record(EventType.JOB_REFUSED, id, ResultCode.STORE_UNAVAILABLE + ": the store is silent");
+            events.record(EventType.JOB_REFUSED, id,
+                    ResultCode.STORE_UNAVAILABLE + ": the store is unresponsive");
             throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE,
-                    "the platform's store does not answer; this try changed nothing");
+                    "the platform's store is unresponsive; this request changed nothing");
         }
     }
 
-    /** By now the caller's own write may have taken effect, so nothing may be told as not run. */
+    /** Reports every failure as an unknown outcome, since the caller's write may have taken effect. */
     private Optional<JobRecord> readAfterWrite(String id) throws InterruptedException
     {
         try
         {
-            return recordIn(id, listRecord(id)).map(value -> JobCodec.readRecord(value.value()));
+            return findRecord(id, listJob(id)).map(value -> JobCodec.readRecord(value.value()));
         }
         catch (GaugehollowException e)
         {
             throw new GaugehollowException(ResultCode.STORE_OUTCOME_UNKNOWN,
-                    "whose job has this id could not be read: " + e.getMessage(), e);
+                    "failed to read the job record after the write: " + e.getMessage(), e);
         }
     }
 
-    private void writeUntilKnown(Write write, String id, long deadlineNanos) throws InterruptedException
+    private void writeUntilSettled(Write write, String id, long deadlineNanos) throws InterruptedException
     {
-        TryOutcomes tries = new TryOutcomes();
+        TryOutcomes attempts = new TryOutcomes();
         while (true)
         {
             try
@@ -191,26 +190,26 @@
             }
             catch (GaugehollowException e)
             {
-                tries.add(e);
-                boolean late = deadlineNanos - SteadyClock.nanos() < ANSWER_MARGIN_NANOS;
-                if (!tries.mayRun() || late || store.isUnresponsive())
+                attempts.add(e);
+                boolean deadlineNear = deadlineNanos - SteadyClock.nanos() < ANSWER_MARGIN_NANOS;
+                if (!attempts.mayRun() || deadlineNear || store.isUnresponsive())
                 {
-                    GaugehollowException refusal = tries.failure();
-                    events.record(EventType.JOB_REFUSED, id, refusal.code() + ": " + refusal.getMessage());
-                    throw refusal;
+                    GaugehollowException failure = attempts.failure();
+                    events.record(EventType.JOB_REFUSED, id, failure.code() + ": " + failure.getMessage());
+                    throw failure;
                 }
             }
-            Thread.sleep(RETRY_MILLIS);
+            Thread.sleep(RETRY_DELAY_MILLIS);
         }
     }
 
     /**
      * Cancels a job.
      *
-     * @param scope the queue, and whose jobs the caller may change
-     * @param id the job's id
-     * @param deadlineNanos until when the caller waits, on {@link SteadyClock#nanos}
-     * @throws InterruptedException if the process stops
+     * @param scope queue and customer to which the caller has access
+     * @param id id of the job
+     * @param deadlineNanos the caller's deadline on {@link SteadyClock#nanos}
+     * @throws InterruptedException if the thread is interrupted
      * @throws GaugehollowException {@code UNKNOWN_JOB} if there is no such job in the scope
      */
     public void cancel(JobScope scope, String id, long deadlineNanos) throws InterruptedException
@@ -221,127 +220,132 @@
     private boolean writeCancellation(JobScope scope, String id, long deadlineNanos)
             throws InterruptedException
     {
-        refuseWhileSilent(id);
-        StoreListing listing = listRecord(id);
-        if (recordIn(id, listing).isEmpty())
+        requireResponsiveStore(id);
+        StoreListing listing = listJob(id);
+        if (findRecord(id, listing).isEmpty())
         {
-            if (holdBack(scope, id, deadlineNanos))
+            if (cancelIfAbsent(scope, id, deadlineNanos))
             {
-                throw unknown(scope, id, listing.revision());
+                throw unknownJob(scope, id, listing.revision());
             }
-            listing = listRecord(id);
+            listing = listJob(id);
         }
-        find(scope, id, listing);
+        requireRecord(scope, id, listing);
         StoreTransaction write = new StoreTransaction().put(JobKeys.cancel(id),
                 Cancellation.of(scope).write());
-        writeUntilKnown(() -> HedgedCall.write(() -> store.commit(write)), id, deadlineNanos);
-        events.record(EventType.JOB_CANCELLED, id, scope.queue().name() + of(scope.customer()));
-        notices.onJobCancelled(id);
+        writeUntilSettled(() -> HedgedCall.write(() -> store.commit(write)), id, deadlineNanos);
+        events.record(EventType.JOB_CANCELLED, id, scope.queue().name() + customerSuffix(scope.customer()));
+        listener.onJobCancelled(id);
         return true;
     }
 
     /**
-     * Writes the cancellation of a job that is not there. Its record may still be on the way from a
-     * submission without an answer; carried out after the caller was told that there is no such job, it
-     * would run all the same.
+     * Writes the cancellation of a job that has no record. A submission that was not answered may still
+     * write the record later; the cancellation then keeps the job from running.
      *
-     * @return whether there still was no record
+     * @return whether the record was still absent
      */
-    private boolean holdBack(JobScope scope, String id, long deadlineNanos) throws InterruptedException
+    private boolean cancelIfAbsent(JobScope scope, String id, long deadlineNanos) throws InterruptedException
     {
         StoreTransaction write = new StoreTransaction().require(JobKeys.job(id), 0).put(JobKeys.cancel(id),
                 Cancellation.of(scope).write());
         boolean[] written = new boolean[1];
-        writeUntilKnown(() -> written[0] = HedgedCall.write(() -> store.commit(write)).isPresent(), id,
+        writeUntilSettled(() -> written[0] = HedgedCall.write(() -> store.commit(write)).isPresent(), id,
                 deadlineNanos);
         return written[0];
     }
 
     /**
-     * @param scope the queue, and whose jobs the caller may see
-     * @param id the job's id
-     * @return the job's state
-     * @throws InterruptedException if the process stops
+     * Returns the state of a job.
+     *
+     * @param scope queue and customer to which the caller has access
+     * @param id id of the job
+     * @return state of the job
+     * @throws InterruptedException if the thread is interrupted
      * @throws GaugehollowException {@code UNKNOWN_JOB} if there is no such job in the scope
      */
     public JobState state(JobScope scope, String id) throws InterruptedException
     {
-        return timed("state", () -> read(scope, id));
+        return timed("state", () -> readState(scope, id));
     }
 
-    private JobState read(JobScope scope, String id) throws InterruptedException
+    private JobState readState(JobScope scope, String id) throws InterruptedException
     {
-        refuseWhileSilent(id);
+        requireResponsiveStore(id);
         Optional<StoredValue> stored = HedgedCall.read(() -> store.get(JobKeys.progress(id)));
         if (stored.isPresent())
         {
             JobProgress progress = JobCodec.readProgress(stored.get().value());
-            check(scope, id, progress.queue(), progress.customer(), stored.get().modRevision());
+            requireInScope(scope, id, progress.queue(), progress.customer(), stored.get().modRevision());
             return progress.state();
         }
-        StoreListing listing = listRecord(id);
-        JobRecord record = find(scope, id, listing);
+        StoreListing listing = listJob(id);
+        JobRecord record = requireRecord(scope, id, listing);
         boolean cancelled = listing.values().stream().filter(v -> v.key().equals(JobKeys.cancel(id)))
                 .anyMatch(v -> Cancellation.read(v.value()).appliesTo(record));
         return cancelled ? JobState.CANCELLED : JobState.QUEUED;
     }
 
-    private StoreListing listRecord(String id) throws InterruptedException
+    private StoreListing listJob(String id) throws InterruptedException
     {
         return HedgedCall.read(() -> store.list(JobKeys.jobPrefix(id)));
     }
 
-    /** Another customer's job is answered as one that is not there: neither tells of the other. */
-    private void check(JobScope scope, String id, String queue, String customer, long revision)
+    /** Reports a job of another customer as unknown, so that its existence is not disclosed. */
+    private void requireInScope(JobScope scope, String id, String queue, String customer, long revision)
     {
         if (!scope.covers(queue, customer))
         {
-            throw unknown(scope, id, revision);
+            throw unknownJob(scope, id, revision);
         }
     }
 
-    private GaugehollowException unknown(JobScope scope, String id, long revision)
+    private GaugehollowException unknownJob(JobScope scope, String id, long revision)
     {
         String queue = scope.queue().name();
         events.record(EventType.JOB_REFUSED, id, ResultCode.UNKNOWN_JOB + ": not in " + queue
-                + of(scope.customer()) + " at revision " + revision);
+                + customerSuffix(scope.customer()) + " at revision " + revision);
         return new GaugehollowException(ResultCode.UNKNOWN_JOB, "no job " + id + " in " + queue);
     }
 
-    private JobRecord find(JobScope scope, String id, StoreListing listing)
+    private JobRecord requireRecord(JobScope scope, String id, StoreListing listing)
     {
-        StoredValue value = recordIn(id, listing).orElseThrow(() -> unknown(scope, id, listing.revision()));
+        StoredValue value = findRecord(id, listing)
+                .orElseThrow(() -> unknownJob(scope, id, listing.revision()));
         JobRecord record = JobCodec.readRecord(value.value());
-        check(scope, id, record.queue().name(), record.customer(), value.modRevision());
+        requireInScope(scope, id, record.queue().name(), record.customer(), value.modRevision());
         return record;
     }
 
-    private static Optional<StoredValue> recordIn(String id, StoreListing listing)
+    private static Optional<StoredValue> findRecord(String id, StoreListing listing)
     {
         return listing.values().stream().filter(value -> value.key().equals(JobKeys.job(id))).findFirst();
     }
 
     /**
+     * Returns the number of waiting jobs of a queue.
+     *
      * @param queue the queue
-     * @return how many of its jobs have not begun, as the owner counted them last
-     * @throws InterruptedException if the process stops
-     * @throws GaugehollowException {@code COUNT_UNKNOWN} while no owner counts them
+     * @return number of jobs that have not started, as last counted by the owner
+     * @throws InterruptedException if the thread is interrupted
+     * @throws GaugehollowException {@code COUNT_UNKNOWN} if no owner has published a count
      */
     public int pending(QueueSpec queue) throws InterruptedException
     {
-        refuseWhileSilent(queue.name());
+        requireResponsiveStore(queue.name());
         Optional<StoredValue> stored = HedgedCall.read(() -> store.get(JobKeys.SUMMARY));
         if (stored.isEmpty())
         {
-            throw new GaugehollowException(ResultCode.COUNT_UNKNOWN, "no box owns the cell at the moment");
+            throw new GaugehollowException(ResultCode.COUNT_UNKNOWN, "no box currently owns the cell");
         }
         try
         {
-            return Json.mapper().readValue(stored.get().value(), COUNTS).getOrDefault(queue.name(), 0);
+            return Json.mapper().readValue(stored.get().value(), COUNTS_TYPE).getOrDefault(queue.name(), 0);
         }
         catch (java.io.IOException e)
         {
-            throw new GaugehollowException(ResultCode.STORE_BAD_ANSWER, "the counts cannot be read", e);
+            throw new GaugehollowException(ResultCode.STORE_BAD_ANSWER,
+                    "failed to parse the pending job counts", e);
         }
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/MonitoredPlatform.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/MonitoredPlatform.java
@@ -14,7 +14,7 @@
 import org.gaugehollow.worker.WorkerEntry;
 import org.gaugehollow.worker.WorkerPort;
 
-/** A platform all of whose store calls are monitored. */
+/** Delegates to a platform, with its store replaced by a monitored one. */
 final class MonitoredPlatform implements CellPlatform
 {
     private final CellPlatform platform;
@@ -63,9 +63,9 @@
     }
 
     @Override
-    public WorkerPort openWorker(WorkerEntry worker, BooleanSupplier mayOrder)
+    public WorkerPort openWorker(WorkerEntry worker, BooleanSupplier maySendCommands)
     {
-        return platform.openWorker(worker, mayOrder);
+        return platform.openWorker(worker, maySendCommands);
     }
 
     @Override
--- a/gaugehollow/src/test/java/org/gaugehollow/box/CustomersJobsTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/CustomerIsolationTest.java
@@ -30,8 +30,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.function.Executable;
 
-/** A customer's jobs are there for its own callers only. */
-class CustomersJobsTest
+/** Guards against customers seeing, cancelling or reusing the jobs of other customers. */
+class CustomerIsolationTest
 {
     private static final String ID = "00000000000000aa";
     private static final QueueSpec QUEUE = new QueueSpec("urgent", "service", 0, 2, 250, 1.5, null);
@@ -48,13 +48,13 @@
                 @Override
                 public void onJobWritten(String job)
                 {
-                    // nobody waits for it here
+                    // not needed here
                 }
 
                 @Override
                 public void onJobCancelled(String job)
                 {
-                    // nobody waits for it here
+                    // not needed here
                 }
             }, events, new Metrics());
 
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void anotherCustomersJobIsAnsweredAsOneThatIsNotThere() throws InterruptedException
+    void jobOfAnotherCustomerIsReportedAsUnknown() throws InterruptedException
     {
         submit(NORTH);
         assertThat(box.state(NORTH, ID)).isEqualTo(JobState.QUEUED);
@@ -86,7 +86,7 @@
     }
 
     @Test
-    void anotherCustomersJobIsNotCancelled() throws InterruptedException
+    void jobOfAnotherCustomerIsNotCancelled() throws InterruptedException
     {
         submit(NORTH);
         assertThat(codeOf(() -> box.cancel(SOUTH, ID, inOneSecond()))).isEqualTo(ResultCode.UNKNOWN_JOB);
@@ -95,9 +95,9 @@
         assertThat(box.state(NORTH, ID)).isEqualTo(JobState.CANCELLED);
     }
 
-    /** Its cancellation is kept for a record that may still come, but concerns only its own. */
+    /** Guards against a stored early cancellation that cancels the job of another customer. */
     @Test
-    void aCancellationBeforeTheRecordConcernsItsOwnCustomerOnly() throws InterruptedException
+    void cancellationBeforeRecordAppliesOnlyToOwnCustomer() throws InterruptedException
     {
         assertThat(codeOf(() -> box.cancel(SOUTH, ID, inOneSecond()))).isEqualTo(ResultCode.UNKNOWN_JOB);
         submit(NORTH);
@@ -105,7 +105,7 @@
     }
 
     @Test
-    void theSameIdIsOneJobForOneCustomerAndRefusedToAnother() throws InterruptedException
+    void sameIdIsIdempotentForOneCustomerAndRejectedForAnother() throws InterruptedException
     {
         submit(NORTH);
         submit(NORTH);
@@ -113,9 +113,9 @@
         assertThat(codeOf(() -> submit(SOUTH))).isEqualTo(ResultCode.JOB_CONFLICT);
     }
 
-    /** The customer's own write may have taken effect, so "not run" would not be true. */
+    /** Guards against reporting "not run" although the write may have taken effect. */
     @Test
-    void whereItIsNotKnownWhoseJobHasTheIdTheOutcomeIsUnknown() throws InterruptedException
+    void outcomeIsUnknownWhenCustomerOfJobCannotBeRead() throws InterruptedException
     {
         submit(NORTH);
         store.failReads(true);
@@ -123,7 +123,7 @@
     }
 
     @Test
-    void aJobOfBeforeThereWereCustomersIsReadByAll() throws InterruptedException
+    void jobWithoutCustomerIsVisibleToAll() throws InterruptedException
     {
         submit(JobScope.of(QUEUE));
         assertThat(box.state(NORTH, ID)).isEqualTo(JobState.QUEUED);
--- a/gaugehollow/src/test/java/org/gaugehollow/box/FreshConfigServiceTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/FreshConfigServiceTest.java
@@ -26,7 +26,7 @@
 
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 
-/** By which configuration a box answers that the store does not answer, or only just again. */
+/** Guards against answering requests from a stale configuration during and after a store outage. */
 class FreshConfigServiceTest
 {
     private static final HttpMessage REQUEST = new HttpMessage("GET", "/q/", "", new DefaultHttpHeaders(),
@@ -49,13 +49,13 @@
         @Override
         public void onRemoved(String key, long revision)
         {
-            throw new AssertionError("nothing is removed here");
+            throw new AssertionError("unexpected removal");
         }
 
         @Override
         public void onListed(long revision)
         {
-            throw new AssertionError("nothing is listed here");
+            throw new AssertionError("unexpected listing");
         }
     });
     private final CallerService service = new FreshConfigService(request -> HttpReply.json(200, config.get()),
@@ -66,7 +66,7 @@
         store.commit(new StoreTransaction().put(KEY, value.getBytes(StandardCharsets.UTF_8)));
     }
 
-    private void silence()
+    private void makeStoreUnresponsive()
     {
         store.setDown(true);
         clock.addAndGet(TimeUnit.SECONDS.toNanos(1));
@@ -77,51 +77,47 @@
         assertThat(monitored.isUnresponsive()).isTrue();
     }
 
-    private ResultCode refusal()
+    private ResultCode failureCode()
     {
         return assertThrows(GaugehollowException.class, () -> service.answer(REQUEST)).code();
     }
 
     @Test
-    void whileTheStoreIsSilentNothingIsDecidedHere() throws InterruptedException
+    void requestsAreRejectedWhileStoreIsUnresponsive() throws InterruptedException
     {
         assertThat(service.answer(REQUEST).status()).isEqualTo(200);
-        silence();
-        assertThat(refusal()).isEqualTo(ResultCode.CONFIG_MAY_BE_OLD);
+        makeStoreUnresponsive();
+        assertThat(failureCode()).isEqualTo(ResultCode.CONFIG_MAY_BE_OLD);
     }
 
-    /**
-     * On a played day the store was back for a box at 13.04 s, which then let in two jobs, one with a
-     * key that the box had been told over a peer to be gone: its watch brought the configuration at
-     * 13.30 s.
-     */
+    /** Guards against accepting jobs with a removed API key before the watch has caught up. */
     @Test
-    void afterASilenceTheConfigurationIsReadBeforeAnythingIsDecided() throws InterruptedException
+    void requestsAreRejectedAfterOutageUntilConfigIsRead() throws InterruptedException
     {
         write("old");
         probe.read();
-        silence();
+        makeStoreUnresponsive();
         probe.read();
         store.setDown(false);
         write("new");
         monitored.get("other");
         assertThat(monitored.isUnresponsive()).isFalse();
-        assertThat(refusal()).isEqualTo(ResultCode.CONFIG_MAY_BE_OLD);
+        assertThat(failureCode()).isEqualTo(ResultCode.CONFIG_MAY_BE_OLD);
         probe.read();
         assertThat(service.answer(REQUEST).status()).isEqualTo(200);
         assertThat(config.get()).isEqualTo("new");
     }
 
     @Test
-    void eachSilenceNeedsAReadingOfItsOwn() throws InterruptedException
+    void eachOutageRequiresNewConfigRead() throws InterruptedException
     {
-        silence();
+        makeStoreUnresponsive();
         store.setDown(false);
         probe.read();
         assertThat(service.answer(REQUEST).status()).isEqualTo(200);
-        silence();
+        makeStoreUnresponsive();
         store.setDown(false);
         monitored.get("other");
-        assertThat(refusal()).isEqualTo(ResultCode.CONFIG_MAY_BE_OLD);
+        assertThat(failureCode()).isEqualTo(ResultCode.CONFIG_MAY_BE_OLD);
     }
 }
