--- a/gaugehollow-bench/src/main/java/org/gaugehollow/bench/EngineBenchmark.java
+++ b/gaugehollow-bench/src/main/java/org/gaugehollow/bench/EngineBenchmark.java
@@ -35,8 +35,8 @@
 import org.openjdk.jmh.annotations.Warmup;
 
 /**
- * How long one decision takes, with the release of an older task, on a cell that is about 80 %
- * full.
+ * Measures the time of one placement decision, including the release of an older task, on a cell
+ * that is about 80 % full.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -46,10 +46,11 @@
 @Measurement(iterations = 5, time = 1)
 public class EngineBenchmark
 {
-    private static final int SLOTS = 8;
-    private static final double FULL = 0.8;
-    private static final ComputeResources PLAIN = new ComputeResources(SLOTS, 16_000, 32_768, 0);
-    private static final ComputeResources ACCELERATED = new ComputeResources(SLOTS, 32_000, 65_536, 1);
+    private static final int SLOTS_PER_WORKER = 8;
+    private static final double TARGET_FILL = 0.8;
+    private static final ComputeResources PLAIN = new ComputeResources(SLOTS_PER_WORKER, 16_000, 32_768, 0);
+    private static final ComputeResources ACCELERATED = new ComputeResources(SLOTS_PER_WORKER, 32_000, 65_536,
+            1);
 
     @Param({"30", "120", "400", "1200"})
     private int workers;
@@ -60,9 +61,9 @@
     private final Deque<Placement> running = new ArrayDeque<>();
     private final UniformRandomProvider random = RandomSource.XO_SHI_RO_128_PP.create(1);
     private PlacementEngine engine;
-    private long task;
+    private long lastTaskNumber;
 
-    /** Fills a cell to about four fifths. */
+    /** Fills the cell to the target level. */
     @Setup(Level.Trial)
     public void fill()
     {
@@ -74,16 +75,16 @@
         {
             engine.putWorker("worker-" + i, 1, i % 2 == 0 ? PLAIN : ACCELERATED, ComputeResources.NONE, true);
         }
-        while (running.size() < workers * SLOTS * FULL)
+        while (running.size() < workers * SLOTS_PER_WORKER * TARGET_FILL)
         {
             engine.tryPlace(nextDemand()).ifPresent(running::add);
         }
     }
 
     /**
-     * Ends the oldest task and places another one.
+     * Releases the oldest task and places another one.
      *
-     * @return the decision
+     * @return the placement, or empty if the task does not fit
      */
     @Benchmark
     public Optional<Placement> releaseAndPlace()
@@ -102,17 +103,18 @@
     {
         ComputeResources needs = new ComputeResources(1, 250 * random.nextInt(1, 8),
                 256 * random.nextInt(1, 12), 0);
-        return demand(needs);
+        return createDemand(needs);
     }
 
     private TaskDemand smallDemand()
     {
-        return demand(new ComputeResources(1, 0, 0, 0));
+        return createDemand(new ComputeResources(1, 0, 0, 0));
     }
 
-    private TaskDemand demand(ComputeResources needs)
+    private TaskDemand createDemand(ComputeResources needs)
     {
-        task++;
-        return new TaskDemand("task-" + task, TaskClass.BOOKING, "team", 1, 0, needs, Long.MAX_VALUE);
+        lastTaskNumber++;
+        return new TaskDemand("task-" + lastTaskNumber, TaskClass.BOOKING, "team", 1, 0, needs,
+                Long.MAX_VALUE);
     }
 }
--- a/gaugehollow-bench/src/main/java/org/gaugehollow/bench/PackingExperiment.java
+++ b/gaugehollow-bench/src/main/java/org/gaugehollow/bench/PackingExperiment.java
@@ -18,21 +18,21 @@
 import org.gaugehollow.placement.WorkerIndex;
 
 /**
- * How full a cell is when the first task is refused, for each policy on the same sequences of
- * tasks, and how many accelerators are then stranded: free, on workers that have no room left for
- * the smallest task that would use one.
+ * Measures how full a cell is when the first task does not fit, for each policy on the same
+ * sequences of tasks, and how many accelerators are stranded: free, but on workers without capacity
+ * for the smallest task that needs one.
  */
 public final class PackingExperiment
 {
-    private static final int SEEDS = 31;
-    private static final int WORKERS = 30;
+    private static final int SEED_COUNT = 31;
+    private static final int WORKER_COUNT = 30;
     private static final ComputeResources PLAIN = new ComputeResources(64, 32_000, 65_536, 0);
     private static final ComputeResources ACCELERATED = new ComputeResources(64, 32_000, 65_536, 2);
     private static final ComputeResources SMALLEST_ACCELERATED = new ComputeResources(1, 2_000, 4_096, 1);
     private static final String[] POLICIES = {"random", "round-robin", "first-fit", "least-connections",
             "waiting-first", "packing-first"};
 
-    /** What one policy reached on one sequence, as shares of what the cell holds. */
+    /** Result of one policy on one sequence, as shares of the cell capacity. */
     private record Fill(double cpu, double memory, double accelerators, double stranded, int placed)
     {
     }
@@ -42,9 +42,9 @@
     }
 
     /**
-     * Prints a table.
+     * Prints a table of the results.
      *
-     * @param args none
+     * @param args not used
      */
     public static void main(String[] args)
     {
@@ -53,32 +53,33 @@
         for (String policy : POLICIES)
         {
             List<Fill> fills = new ArrayList<>();
-            for (int seed = 1; seed <= SEEDS; seed++)
+            for (int seed = 1; seed <= SEED_COUNT; seed++)
             {
-                fills.add(fill(policy, seed));
+                fills.add(fillCell(policy, seed));
             }
-            System.out.printf("%-18s %22s %22s %22s %22s %22s%n", policy, spread(fills, f -> f.cpu * 100),
-                    spread(fills, f -> f.memory * 100), spread(fills, f -> f.accelerators * 100),
-                    spread(fills, f -> f.stranded * 100), spread(fills, Fill::placed));
+            System.out.printf("%-18s %22s %22s %22s %22s %22s%n", policy,
+                    formatSpread(fills, f -> f.cpu * 100), formatSpread(fills, f -> f.memory * 100),
+                    formatSpread(fills, f -> f.accelerators * 100),
+                    formatSpread(fills, f -> f.stranded * 100), formatSpread(fills, Fill::placed));
         }
-        System.out.println(
-                "each cell: median (least to most) over " + SEEDS + " sequences, the same for every policy");
+        System.out.println("each cell: median (least to most) over " + SEED_COUNT
+                + " sequences, the same for every policy");
     }
 
-    private static String spread(List<Fill> fills, ToDoubleFunction<Fill> value)
+    private static String formatSpread(List<Fill> fills, ToDoubleFunction<Fill> value)
     {
         double[] sorted = fills.stream().mapToDouble(value).sorted().toArray();
         return String.format("%.1f (%.1f to %.1f)", sorted[sorted.length / 2], sorted[0],
                 sorted[sorted.length - 1]);
     }
 
-    private static Fill fill(String type, int seed)
+    private static Fill fillCell(String type, int seed)
     {
         PlacementPolicy policy = new PolicyRegistry().create(new PolicySpec(type, null, null));
         UniformRandomProvider random = RandomSource.XO_SHI_RO_128_PP.create(seed);
         WorkerIndex index = new WorkerIndex();
         ComputeResources capacity = ComputeResources.NONE;
-        for (int i = 0; i < WORKERS; i++)
+        for (int i = 0; i < WORKER_COUNT; i++)
         {
             ComputeResources worker = i % 3 == 0 ? ACCELERATED : PLAIN;
             index.put(String.format("w%02d", i), worker, worker);
@@ -87,11 +88,11 @@
         int placed = 0;
         while (true)
         {
-            ComputeResources demand = demand(random);
+            ComputeResources demand = nextDemand(random);
             Optional<String> chosen = policy.choose(index, demand);
             if (chosen.isEmpty())
             {
-                return result(index, capacity, placed);
+                return createFill(index, capacity, placed);
             }
             WorkerIndex.State state = index.workers().get(chosen.get());
             index.put(chosen.get(), state.capacity(), state.free().minus(demand));
@@ -99,11 +100,8 @@
         }
     }
 
-    /**
-     * Small calls, rebuilds that need memory, calculations that need processors, and a few that need
-     * accelerators.
-     */
-    private static ComputeResources demand(UniformRandomProvider random)
+    /** Draws a demand: mostly small calls, then memory-bound, CPU-bound and a few accelerator tasks. */
+    private static ComputeResources nextDemand(UniformRandomProvider random)
     {
         int kind = random.nextInt(100);
         if (kind < 50)
@@ -121,7 +119,7 @@
         return new ComputeResources(1, random.nextInt(2_000, 6_000), random.nextInt(4_096, 12_288), 1);
     }
 
-    private static Fill result(WorkerIndex index, ComputeResources capacity, int placed)
+    private static Fill createFill(WorkerIndex index, ComputeResources capacity, int placed)
     {
         ComputeResources free = ComputeResources.NONE;
         int stranded = 0;
@@ -134,13 +132,13 @@
                             SMALLEST_ACCELERATED.memoryMib(), 0));
             stranded += usable ? 0 : state.free().accelerators();
         }
-        return new Fill(share(capacity.cpuMillis(), free.cpuMillis()),
-                share(capacity.memoryMib(), free.memoryMib()),
-                share(capacity.accelerators(), free.accelerators()),
+        return new Fill(usedShare(capacity.cpuMillis(), free.cpuMillis()),
+                usedShare(capacity.memoryMib(), free.memoryMib()),
+                usedShare(capacity.accelerators(), free.accelerators()),
                 (double) stranded / capacity.accelerators(), placed);
     }
 
-    private static double share(int capacity, int free)
+    private static double usedShare(int capacity, int free)
     {
         return (capacity - free) / (double) capacity;
     }
