--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/ApplyCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/ApplyCommand.java
@@ -17,7 +17,7 @@
 import com.beust.jcommander.Parameters;
 import com.beust.jcommander.ParametersDelegate;
 
-/** Creates or changes the resources that files hold. */
+/** Creates or changes the resources described in files. */
 @Parameters(commandDescription = "create or change resources from files")
 final class ApplyCommand implements Command
 {
@@ -50,7 +50,7 @@
         {
             resources.addAll(ResourceFile.readAll(Path.of(file)));
         }
-        try (NetLoops loops = new NetLoops(Optional.empty()); HttpCaller caller = server.caller(loops))
+        try (NetLoops loops = new NetLoops(Optional.empty()); HttpCaller caller = server.createCaller(loops))
         {
             ResourceClient client = new ResourceClient(caller);
             for (ResourceFile resource : resources)
@@ -58,15 +58,15 @@
                 HttpReply reply = client.apply(resource);
                 if (Replies.isError(reply))
                 {
-                    return Replies.show(console, reply, output.json());
+                    return Replies.print(console, reply, output.isJson());
                 }
-                if (output.json())
+                if (output.isJson())
                 {
-                    Replies.show(console, reply, true);
+                    Replies.print(console, reply, true);
                 }
                 else
                 {
-                    console.line("applied " + resource.kind() + '/' + resource.name() + " revision "
+                    console.printLine("applied " + resource.kind() + '/' + resource.name() + " revision "
                             + reply.headers().get("ETag"));
                 }
             }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/CheckSettingsCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/CheckSettingsCommand.java
@@ -13,13 +13,13 @@
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
 
-/** Checks a settings file without starting anything. */
-@Parameters(commandDescription = "check a settings file without starting")
+/** Validates a settings file without starting a box. */
+@Parameters(commandDescription = "validate a settings file without starting a box")
 final class CheckSettingsCommand implements Command
 {
     @Parameter(description = "FILE", required = true)
     private String file;
-    @Parameter(names = "--jobs", description = "the file is of a box that schedules jobs")
+    @Parameter(names = "--jobs", description = "validate the file as settings of a job box")
     private boolean jobs;
 
     @Override
@@ -40,11 +40,11 @@
         if (jobs)
         {
             JobBoxSettings settings = SettingsReader.read(Path.of(file), JobBoxSettings.class);
-            console.line("good: box " + settings.box() + " of hall " + settings.hall());
+            console.printLine("valid settings: box " + settings.box() + " of hall " + settings.hall());
             return ExitCode.OK;
         }
         EntrySettings settings = SettingsReader.read(Path.of(file), EntrySettings.class);
-        console.line("good: box " + settings.box() + " of hall " + settings.hall());
+        console.printLine("valid settings: box " + settings.box() + " of hall " + settings.hall());
         return ExitCode.OK;
     }
 }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/Command.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/Command.java
@@ -4,21 +4,21 @@
  */
 package org.gaugehollow.daemon;
 
-/** One subcommand of the command line. */
+/** Subcommand of the command line. */
 interface Command
 {
-    /** @return the word it is called by */
+    /** @return name of the subcommand on the command line */
     String name();
 
-    /** @return examples of its use, one a line */
+    /** @return usage examples, one per line */
     String examples();
 
     /**
-     * Does the work.
+     * Runs the command.
      *
-     * @param console where results and progress are shown
+     * @param console output for results and progress
      * @return the exit code
-     * @throws InterruptedException if the process stops
+     * @throws InterruptedException if the thread is interrupted
      */
     ExitCode run(Console console) throws InterruptedException;
 }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/Console.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/Console.java
@@ -12,7 +12,7 @@
 import com.fasterxml.jackson.core.JsonProcessingException;
 
 /**
- * Where a command shows its results, on standard output, and everything else, on standard error.
+ * Output of a command: results go to standard output, diagnostics to standard error.
  */
 final class Console
 {
@@ -25,32 +25,32 @@
         this.err = err;
     }
 
-    void line(String text)
+    void printLine(String text)
     {
         out.println(text);
         out.flush();
     }
 
-    void json(Object value)
+    void printJson(Object value)
     {
-        line(new String(Json.write(value), StandardCharsets.UTF_8));
+        printLine(new String(Json.write(value), StandardCharsets.UTF_8));
     }
 
-    /** Shows JSON laid out for people. */
-    void pretty(byte[] json)
+    /** Prints JSON with indentation, or unchanged if it cannot be parsed. */
+    void printPrettyJson(byte[] json)
     {
         try
         {
             Object tree = Json.mapper().readTree(new String(json, StandardCharsets.UTF_8));
-            line(Json.mapper().writerWithDefaultPrettyPrinter().writeValueAsString(tree));
+            printLine(Json.mapper().writerWithDefaultPrettyPrinter().writeValueAsString(tree));
         }
         catch (JsonProcessingException e)
         {
-            line(new String(json, StandardCharsets.UTF_8));
+            printLine(new String(json, StandardCharsets.UTF_8));
         }
     }
 
-    void note(String text)
+    void printDiagnostic(String text)
     {
         err.println(text);
         err.flush();
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/DeleteCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/DeleteCommand.java
@@ -13,12 +13,12 @@
 import com.beust.jcommander.Parameters;
 import com.beust.jcommander.ParametersDelegate;
 
-/** Removes a resource. */
-@Parameters(commandDescription = "remove KIND/NAME")
+/** Deletes a resource. */
+@Parameters(commandDescription = "delete KIND/NAME")
 final class DeleteCommand implements Command
 {
     @Parameter(description = "KIND/NAME", required = true)
-    private String what;
+    private String resource;
 
     @ParametersDelegate
     private final ServerOptions server = new ServerOptions();
@@ -41,9 +41,10 @@
     @Override
     public ExitCode run(Console console) throws InterruptedException
     {
-        try (NetLoops loops = new NetLoops(Optional.empty()); HttpCaller caller = server.caller(loops))
+        try (NetLoops loops = new NetLoops(Optional.empty()); HttpCaller caller = server.createCaller(loops))
         {
-            return Replies.show(console, new ResourceClient(caller).delete("/v1/" + what), output.json());
+            return Replies.print(console, new ResourceClient(caller).delete("/v1/" + resource),
+                    output.isJson());
         }
     }
 }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/EntryCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/EntryCommand.java
@@ -14,11 +14,11 @@
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
 
-/** Runs an entry box until it is told to stop; SIGTERM and SIGINT begin a planned stop. */
+/** Runs an entry box until SIGTERM or SIGINT starts a planned stop. */
 @Parameters(commandDescription = "run an entry box")
 final class EntryCommand implements Command
 {
-    @Parameter(names = "--settings", required = true, description = "the settings file")
+    @Parameter(names = "--settings", required = true, description = "settings file")
     private String settings;
 
     @Override
@@ -37,7 +37,7 @@
     public ExitCode run(Console console) throws InterruptedException
     {
         EntryBox box = new EntryBox(SettingsReader.read(Path.of(settings), EntrySettings.class));
-        console.line("ready " + box.id());
+        console.printLine("ready " + box.id());
         CountDownLatch stopped = new CountDownLatch(1);
         Runtime.getRuntime().addShutdownHook(new Thread(() -> stop(box, stopped), "stop"));
         stopped.await();
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/ExitCode.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/ExitCode.java
@@ -4,22 +4,22 @@
  */
 package org.gaugehollow.daemon;
 
-/** The exit codes of the command line; docs/ERRORS.md lists them. */
+/** Exit codes of the command line, listed in docs/ERRORS.md. */
 public enum ExitCode
 {
-    /** All went well. */
+    /** The command succeeded. */
     OK(0),
-    /** The other side refused, with a numbered code. */
+    /** The box rejected the request with a numbered code. */
     REFUSED(1),
-    /** The command's words are wrong. */
+    /** The command line is invalid. */
     USAGE(2),
-    /** A settings or resource file is wrong. */
+    /** A settings or resource file is invalid. */
     BAD_FILE(3),
-    /** The other side cannot be reached. */
+    /** The box cannot be reached. */
     UNREACHABLE(4),
-    /** An address to listen on is taken. */
+    /** A listen address is already in use. */
     ADDRESS_IN_USE(5),
-    /** A fault inside the program. */
+    /** Internal error. */
     FAULT(70);
 
     private final int number;
@@ -29,7 +29,7 @@
         this.number = number;
     }
 
-    /** @return the process' exit status */
+    /** @return exit status of the process */
     public int number()
     {
         return number;
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/GetCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/GetCommand.java
@@ -13,12 +13,12 @@
 import com.beust.jcommander.Parameters;
 import com.beust.jcommander.ParametersDelegate;
 
-/** Shows a resource, all of a kind, or a box's status. */
+/** Prints a resource, all resources of a kind, or the status of a box. */
 @Parameters(commandDescription = "show KIND, KIND/NAME or status")
 final class GetCommand implements Command
 {
     @Parameter(description = "KIND | KIND/NAME | status", required = true)
-    private String what;
+    private String resource;
 
     @ParametersDelegate
     private final ServerOptions server = new ServerOptions();
@@ -41,10 +41,10 @@
     @Override
     public ExitCode run(Console console) throws InterruptedException
     {
-        try (NetLoops loops = new NetLoops(Optional.empty()); HttpCaller caller = server.caller(loops))
+        try (NetLoops loops = new NetLoops(Optional.empty()); HttpCaller caller = server.createCaller(loops))
         {
-            return Replies.show(console, Replies.ask(caller, "GET", "/v1/" + what, new byte[0]),
-                    output.json());
+            return Replies.print(console, Replies.call(caller, "GET", "/v1/" + resource, new byte[0]),
+                    output.isJson());
         }
     }
 }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LoadCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LoadCommand.java
@@ -23,26 +23,26 @@
 import com.beust.jcommander.Parameters;
 import com.beust.jcommander.ParametersDelegate;
 
-/** Sends an open-loop load to boxes on loopback and prints rates and waiting times. */
-@Parameters(commandDescription = "send an open-loop load and print rates and times")
+/** Sends an open-loop load to boxes on loopback addresses and prints rates and latencies. */
+@Parameters(commandDescription = "send an open-loop load and print rates and latencies")
 final class LoadCommand implements Command
 {
-    @Parameter(names = "--servers", description = "callers' addresses, separated by commas")
-    private List<String> servers = new ArrayList<>(List.of(SubmitCommand.DEFAULT_CALLER));
+    @Parameter(names = "--servers", description = "caller addresses of the boxes, separated by commas")
+    private List<String> servers = new ArrayList<>(List.of(SubmitCommand.DEFAULT_CALLER_ADDRESS));
 
-    @Parameter(names = "--mix", required = true, description = "the JSON file with the mix of requests")
+    @Parameter(names = "--mix", required = true, description = "JSON file with the request mix")
     private String mixFile;
 
-    @Parameter(names = "--rate", description = "requests a second")
+    @Parameter(names = "--rate", description = "requests per second")
     private double rate = 100;
 
-    @Parameter(names = "--seconds", description = "how long")
+    @Parameter(names = "--seconds", description = "duration in seconds")
     private int seconds = 10;
 
-    @Parameter(names = "--timeout-millis", description = "how long each request waits, in milliseconds")
+    @Parameter(names = "--timeout-millis", description = "timeout of each request in milliseconds")
     private int timeoutMillis = 5_000;
 
-    @Parameter(names = "--seed", description = "the seed of times and choices")
+    @Parameter(names = "--seed", description = "random seed for arrival times and request types")
     private long seed = 1;
 
     @ParametersDelegate
@@ -72,14 +72,15 @@
                 if (!NetAddress.parse(server).getAddress().isLoopbackAddress())
                 {
                     throw new GaugehollowException(ResultCode.SETTINGS_RANGE,
-                            "load goes to loopback addresses only");
+                            "only loopback addresses are allowed");
                 }
                 callers.add(new HttpCaller(loops, NetAddress.parse(server)));
             }
             LoadRun run = new LoadRun(mix, callers, rate, seconds, timeoutMillis, seed);
             long startedAt = SteadyClock.nanos();
-            List<LoadResult.Summary> summaries = run.run(() -> console.note(run.sent() + " requests sent"));
-            show(console, summaries, (SteadyClock.nanos() - startedAt) / 1e9);
+            List<LoadResult.Summary> summaries = run
+                    .run(() -> console.printDiagnostic(run.sent() + " requests sent"));
+            printSummaries(console, summaries, (SteadyClock.nanos() - startedAt) / 1e9);
             callers.forEach(HttpCaller::close);
         }
         return ExitCode.OK;
@@ -97,20 +98,21 @@
         }
     }
 
-    private void show(Console console, List<LoadResult.Summary> summaries, double tookSeconds)
+    private void printSummaries(Console console, List<LoadResult.Summary> summaries, double elapsedSeconds)
     {
-        if (output.json())
+        if (output.isJson())
         {
-            console.json(summaries);
+            console.printJson(summaries);
             return;
         }
-        console.line(String.format("%-12s %9s %9s %9s %9s %9s %9s  codes", "workload", "offered/s",
+        console.printLine(String.format("%-12s %9s %9s %9s %9s %9s %9s  codes", "workload", "offered/s",
                 "answered/s", "p50 ms", "p99 ms", "p99.9 ms", "max ms"));
-        for (LoadResult.Summary s : summaries)
+        for (LoadResult.Summary summary : summaries)
         {
-            console.line(String.format("%-12s %9.1f %9.1f %9.2f %9.2f %9.2f %9.2f  %s", s.workload(),
-                    (double) s.offered() / seconds, s.answered() / tookSeconds, s.p50Millis(), s.p99Millis(),
-                    s.p999Millis(), s.maxMillis(), s.codes()));
+            console.printLine(String.format("%-12s %9.1f %9.1f %9.2f %9.2f %9.2f %9.2f  %s",
+                    summary.workload(), (double) summary.offered() / seconds,
+                    summary.answered() / elapsedSeconds, summary.p50Millis(), summary.p99Millis(),
+                    summary.p999Millis(), summary.maxMillis(), summary.codes()));
         }
     }
 }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LoadMix.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LoadMix.java
@@ -9,20 +9,20 @@
 import org.gaugehollow.model.Checks;
 
 /**
- * A mix of requests for the load tool, read from a JSON file.
+ * Request mix of the load command, read from a JSON file.
  *
- * @param requests the kinds of requests
+ * @param requests types of requests
  */
 record LoadMix(List<Part> requests)
 {
     /**
-     * One kind of request.
+     * Type of request.
      *
-     * @param workload the workload
-     * @param team the team
-     * @param weight how often it comes, relative to the others
-     * @param millis how long it runs on the stand-in
-     * @param keyed whether each carries a new key
+     * @param workload workload name
+     * @param team team name
+     * @param weight relative frequency; 0 counts as 1
+     * @param millis run time on the stand-in in milliseconds
+     * @param keyed whether each request carries a new idempotency key
      */
     record Part(String workload, String team, int weight, int millis, boolean keyed)
     {
@@ -43,14 +43,14 @@
         requests = List.copyOf(requests);
     }
 
-    /** The part that a random number from 0 to totalWeight() - 1 falls on. */
+    /** Returns the request type for a random number between 0 and {@code totalWeight() - 1}. */
     Part pick(int number)
     {
-        int left = number;
+        int remaining = number;
         for (Part part : requests)
         {
-            left -= part.weight;
-            if (left < 0)
+            remaining -= part.weight;
+            if (remaining < 0)
             {
                 return part;
             }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LoadRun.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LoadRun.java
@@ -29,56 +29,56 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * One open-loop load run: requests are due at times drawn beforehand, whether or not earlier ones
- * were answered, and their time counts from when they were due.
+ * Open-loop load run: requests are sent at random times regardless of outstanding answers, and
+ * their latency is measured from the scheduled send time.
  */
 final class LoadRun
 {
     private static final double NANOS_PER_SECOND = 1e9;
     private static final long NANOS_PER_MICRO = 1_000;
-    private static final int GRACE_MILLIS = 1_000;
-    private static final int MOST_OPEN = 20_000;
+    private static final int TIMEOUT_GRACE_MILLIS = 1_000;
+    private static final int MAX_OPEN_CALLS = 20_000;
 
     private final LoadMix mix;
     private final List<HttpCaller> servers;
-    private final double perSecond;
+    private final double requestsPerSecond;
     private final long durationNanos;
     private final int timeoutMillis;
     private final UniformRandomProvider random;
     private final Map<String, LoadResult> results = new TreeMap<>();
-    private final Semaphore open = new Semaphore(MOST_OPEN);
+    private final Semaphore openCallPermits = new Semaphore(MAX_OPEN_CALLS);
     private final AtomicLong sent = new AtomicLong();
 
-    LoadRun(LoadMix mix, List<HttpCaller> servers, double perSecond, int seconds, int timeoutMillis,
+    LoadRun(LoadMix mix, List<HttpCaller> servers, double requestsPerSecond, int seconds, int timeoutMillis,
             long seed)
     {
         this.mix = mix;
         this.servers = servers;
-        this.perSecond = perSecond;
+        this.requestsPerSecond = requestsPerSecond;
         this.durationNanos = TimeUnit.SECONDS.toNanos(seconds);
         this.timeoutMillis = timeoutMillis;
         this.random = RandomSource.XO_SHI_RO_128_PP.create(seed);
         mix.requests().forEach(part -> results.put(part.workload(), new LoadResult()));
     }
 
-    /** Sends all requests, waits for their answers and sums up. */
-    List<LoadResult.Summary> run(Runnable everySecond) throws InterruptedException
+    /** Sends all requests, waits for their answers and returns a summary of each workload. */
+    List<LoadResult.Summary> run(Runnable onEverySecond) throws InterruptedException
     {
-        long start = SteadyClock.nanos();
-        long due = start;
-        long nextNote = start + TimeUnit.SECONDS.toNanos(1);
-        while (due - start < durationNanos)
+        long startNanos = SteadyClock.nanos();
+        long dueNanos = startNanos;
+        long nextReportNanos = startNanos + TimeUnit.SECONDS.toNanos(1);
+        while (dueNanos - startNanos < durationNanos)
         {
-            TimeUnit.NANOSECONDS.sleep(due - SteadyClock.nanos());
-            send(mix.pick(random.nextInt(mix.totalWeight())), due);
-            due += (long) (-Math.log(1 - random.nextDouble()) / perSecond * NANOS_PER_SECOND);
-            if (due - nextNote > 0)
+            TimeUnit.NANOSECONDS.sleep(dueNanos - SteadyClock.nanos());
+            send(mix.pick(random.nextInt(mix.totalWeight())), dueNanos);
+            dueNanos += (long) (-Math.log(1 - random.nextDouble()) / requestsPerSecond * NANOS_PER_SECOND);
+            if (dueNanos - nextReportNanos > 0)
             {
-                everySecond.run();
-                nextNote += TimeUnit.SECONDS.toNanos(1);
+                onEverySecond.run();
+                nextReportNanos += TimeUnit.SECONDS.toNanos(1);
             }
         }
-        open.acquire(MOST_OPEN);
+        openCallPermits.acquire(MAX_OPEN_CALLS);
         List<LoadResult.Summary> summaries = new ArrayList<>();
         results.forEach((workload, result) -> summaries.add(result.summary(workload)));
         return summaries;
@@ -89,37 +89,37 @@
         return sent.get();
     }
 
-    private void send(LoadMix.Part part, long due) throws InterruptedException
+    private void send(LoadMix.Part part, long dueNanos) throws InterruptedException
     {
         LoadResult result = results.get(part.workload());
-        result.offered();
+        result.recordOffered();
         HttpCaller server = servers.get((int) (sent.getAndIncrement() % servers.size()));
-        open.acquire();
+        openCallPermits.acquire();
         Thread.ofVirtual().name("load").start(() ->
         {
             try
             {
-                ask(server, part, due, result);
+                callAndRecord(server, part, dueNanos, result);
             }
             finally
             {
-                open.release();
+                openCallPermits.release();
             }
         });
     }
 
-    private void ask(HttpCaller server, LoadMix.Part part, long due, LoadResult result)
+    private void callAndRecord(HttpCaller server, LoadMix.Part part, long dueNanos, LoadResult result)
     {
         try
         {
-            HttpReply reply = server.call(messageOf(part), timeoutMillis + GRACE_MILLIS);
+            HttpReply reply = server.call(createMessage(part), timeoutMillis + TIMEOUT_GRACE_MILLIS);
             boolean answered = "answered".equals(reply.headers().get(UpstreamHeaders.OUTCOME));
             String code = reply.headers().get(UpstreamHeaders.CODE, Integer.toString(reply.status()));
-            result.ended(code, answered, (SteadyClock.nanos() - due) / NANOS_PER_MICRO);
+            result.recordResult(code, answered, (SteadyClock.nanos() - dueNanos) / NANOS_PER_MICRO);
         }
         catch (GaugehollowException e)
         {
-            result.ended("client-" + e.code().number(), false, 0);
+            result.recordResult("client-" + e.code().number(), false, 0);
         }
         catch (InterruptedException e)
         {
@@ -127,7 +127,7 @@
         }
     }
 
-    private HttpMessage messageOf(LoadMix.Part part)
+    private HttpMessage createMessage(LoadMix.Part part)
     {
         HttpHeaders headers = new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, HttpReply.JSON_TYPE)
                 .set(UpstreamHeaders.TEAM, part.team()).set(UpstreamHeaders.TIMEOUT, timeoutMillis);
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LocalCell.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LocalCell.java
@@ -23,19 +23,19 @@
 import org.gaugehollow.standin.WorkerStandinOptions;
 
 /**
- * A working cell inside one process, on loopback: the platform's stand-in, some workers and two
- * entry boxes.
+ * Cell inside one process on loopback addresses: platform stand-in, worker stand-ins and two entry
+ * boxes.
  */
 final class LocalCell implements AutoCloseable
 {
     private static final String HALL = "local";
-    private static final int BOXES = 2;
+    private static final int BOX_COUNT = 2;
     private static final int PORTS_PER_BOX = 10;
     private static final int OPERATOR_OFFSET = 1;
     private static final int PEER_OFFSET = 2;
     private static final int PLATFORM_OFFSET = -1;
     private static final int TIMEOUT_MILLIS = 2_000;
-    private static final ComputeResources WORKER = new ComputeResources(8, 16_000, 32_768, 1);
+    private static final ComputeResources WORKER_CAPACITY = new ComputeResources(8, 16_000, 32_768, 1);
 
     private final NetLoops loops = new NetLoops(Optional.empty());
     private final List<WorkerStandin> workers = new ArrayList<>();
@@ -50,20 +50,20 @@
             for (int i = 1; i <= workerCount; i++)
             {
                 WorkerStandin worker = new WorkerStandin(loops, loopback(0),
-                        new WorkerStandinOptions("worker-" + i, HALL, "rack-1", WORKER, true));
+                        new WorkerStandinOptions("worker-" + i, HALL, "rack-1", WORKER_CAPACITY, true));
                 workers.add(worker);
                 String address = NetAddress.format(worker.address());
                 caller.call("PUT", "/standin/workers", Json.write(worker.rosterLine(address, "live", false)),
                         TIMEOUT_MILLIS);
             }
         }
-        for (int i = 0; i < BOXES; i++)
+        for (int i = 0; i < BOX_COUNT; i++)
         {
-            boxes.add(new EntryBox(settings(i, firstPort + i * PORTS_PER_BOX)));
+            boxes.add(new EntryBox(createSettings(i, firstPort + i * PORTS_PER_BOX)));
         }
     }
 
-    private EntrySettings settings(int number, int port)
+    private EntrySettings createSettings(int number, int port)
     {
         String store = NetAddress.format(platform.address());
         return new EntrySettings("local-" + (number + 1), HALL, null, "127.0.0.1:" + port,
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LocalCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LocalCommand.java
@@ -21,19 +21,19 @@
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
 
-/** Starts a working cell on loopback with one command, and says what to type next. */
-@Parameters(commandDescription = "start a working cell on loopback, for trying things out")
+/** Starts a cell on loopback addresses and prints a command to try. */
+@Parameters(commandDescription = "start a local cell on loopback addresses")
 final class LocalCommand implements Command
 {
     private static final int OK = 200;
-    private static final int TRIES = 100;
-    private static final long PAUSE_MILLIS = 100;
-    private static final int NOTE_EVERY = 20;
+    private static final int MAX_READY_PROBES = 100;
+    private static final long PROBE_INTERVAL_MILLIS = 100;
+    private static final int PROBES_PER_MESSAGE = 20;
 
-    @Parameter(names = "--port", description = "the first port")
+    @Parameter(names = "--port", description = "first port")
     private int port = 7_710;
 
-    @Parameter(names = "--workers", description = "how many workers")
+    @Parameter(names = "--workers", description = "number of workers")
     private int workers = 4;
 
     @Override
@@ -64,10 +64,10 @@
             }
             for (EntryBox box : cell.boxes())
             {
-                console.line(box.id() + "  callers " + NetAddress.format(box.callerAddress()) + "  operators "
-                        + NetAddress.format(box.operatorAddress()));
+                console.printLine(box.id() + "  callers " + NetAddress.format(box.callerAddress())
+                        + "  operators " + NetAddress.format(box.operatorAddress()));
             }
-            console.line("ready; now type in another shell:\n  bin/gaugehollow submit lookup --server "
+            console.printLine("ready; try in another shell:\n  bin/gaugehollow submit lookup --server "
                     + NetAddress.format(first.callerAddress()));
             new CountDownLatch(1).await();
         }
@@ -76,37 +76,37 @@
 
     private static void awaitReady(Console console, HttpCaller caller) throws InterruptedException
     {
-        for (int i = 1; i <= TRIES; i++)
+        for (int i = 1; i <= MAX_READY_PROBES; i++)
         {
             if (isReady(caller))
             {
                 return;
             }
-            if (i % NOTE_EVERY == 0)
+            if (i % PROBES_PER_MESSAGE == 0)
             {
-                console.note("waiting for the first map of the hall ...");
+                console.printDiagnostic("waiting for the first assignment map ...");
             }
-            Thread.sleep(PAUSE_MILLIS);
+            Thread.sleep(PROBE_INTERVAL_MILLIS);
         }
         throw new GaugehollowException(ResultCode.INTERNAL, "the cell did not become ready");
     }
 
     private static boolean isReady(HttpCaller caller) throws InterruptedException
     {
-        HttpReply reply = Replies.ask(caller, "GET", "/readyz", new byte[0]);
+        HttpReply reply = Replies.call(caller, "GET", "/readyz", new byte[0]);
         return reply.status() == OK;
     }
 
     private static List<ResourceFile> demoResources()
     {
-        return List.of(file("teams", "demo", Map.of("homeHall", "local")),
-                file("workloads", "lookup", Map.of("taskClass", "booking", "repeatable", true)),
-                file("workloads", "goal", Map.of("taskClass", "urgent", "repeatable", false)),
-                file("workloads", "rebuild",
+        return List.of(createResource("teams", "demo", Map.of("homeHall", "local")),
+                createResource("workloads", "lookup", Map.of("taskClass", "booking", "repeatable", true)),
+                createResource("workloads", "goal", Map.of("taskClass", "urgent", "repeatable", false)),
+                createResource("workloads", "rebuild",
                         Map.of("taskClass", "batch", "repeatable", true, "timeoutMillis", 60_000)));
     }
 
-    private static ResourceFile file(String kind, String name, Map<String, Object> spec)
+    private static ResourceFile createResource(String kind, String name, Map<String, Object> spec)
     {
         return new ResourceFile(kind, name, Json.mapper().valueToTree(spec));
     }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/Main.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/Main.java
@@ -15,12 +15,12 @@
 import com.beust.jcommander.ParameterException;
 
 /**
- * The command line: finds the subcommand, runs it and turns failures into one line and an exit
+ * Entry point of the command line: runs a subcommand and maps failures to a message and an exit
  * code.
  */
 public final class Main
 {
-    @Parameter(names = "--help", help = true, description = "show help; after a command, help on that command")
+    @Parameter(names = "--help", help = true, description = "show help, or help on the preceding command")
     private boolean help;
 
     private final Map<String, Command> commands = new LinkedHashMap<>();
@@ -31,11 +31,11 @@
     {
         this.console = console;
         this.parser = JCommander.newBuilder().programName("gaugehollow").addObject(this).build();
-        List<Command> all = List.of(new EntryCommand(), new LocalCommand(), new ApplyCommand(),
+        List<Command> commandList = List.of(new EntryCommand(), new LocalCommand(), new ApplyCommand(),
                 new GetCommand(), new DeleteCommand(), new WatchCommand(), new SubmitCommand(),
                 new TimelineCommand(), new LoadCommand(), new CheckSettingsCommand(),
                 new PlatformStandinCommand(), new WorkerStandinCommand(), new VersionCommand());
-        all.forEach(command ->
+        commandList.forEach(command ->
         {
             commands.put(command.name(), command);
             parser.addCommand(command.name(), command);
@@ -45,8 +45,8 @@
     /**
      * Runs one subcommand.
      *
-     * @param args the words of the command line
-     * @throws InterruptedException if the process stops
+     * @param args command line arguments
+     * @throws InterruptedException if the thread is interrupted
      */
     public static void main(String[] args) throws InterruptedException
     {
@@ -55,8 +55,8 @@
 
     ExitCode run(String[] args) throws InterruptedException
     {
-        boolean helpWanted = args.length > 0 && "--help".equals(args[args.length - 1]);
-        if (helpWanted || args.length == 0)
+        boolean helpRequested = args.length > 0 && "--help".equals(args[args.length - 1]);
+        if (helpRequested || args.length == 0)
         {
             return showHelp(args);
         }
@@ -66,7 +66,7 @@
         }
         catch (ParameterException e)
         {
-            console.note("gaugehollow: " + e.getMessage() + "; see gaugehollow --help");
+            console.printDiagnostic("gaugehollow: " + e.getMessage() + "; see gaugehollow --help");
             return ExitCode.USAGE;
         }
         if (parser.getParsedCommand() == null)
@@ -84,7 +84,8 @@
         }
         catch (GaugehollowException e)
         {
-            console.note("gaugehollow: " + e.code().number() + ' ' + e.code().name() + ": " + e.getMessage());
+            console.printDiagnostic(
+                    "gaugehollow: " + e.code().number() + ' ' + e.code().name() + ": " + e.getMessage());
             return exitCodeOf(e);
         }
     }
@@ -111,7 +112,7 @@
         {
             parser.getUsageFormatter().usage(args[0], text);
             text.append("\nExamples:\n  ").append(commands.get(args[0]).examples().replace("\n", "\n  "));
-            console.line(text.toString());
+            console.printLine(text.toString());
             return ExitCode.OK;
         }
         text.append(
@@ -119,7 +120,7 @@
         commands.keySet().forEach(name -> text.append(
                 String.format("  %-18s %s%n", name, parser.getUsageFormatter().getCommandDescription(name))));
         text.append("\nStart here:\n  gaugehollow local\n  gaugehollow submit lookup");
-        console.line(text.toString());
+        console.printLine(text.toString());
         return args.length == 0 ? ExitCode.USAGE : ExitCode.OK;
     }
 }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/OutputOptions.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/OutputOptions.java
@@ -6,21 +6,21 @@
 
 import com.beust.jcommander.Parameter;
 
-/** How results are shown. */
+/** Options for the output format. */
 final class OutputOptions
 {
-    /** The forms of output. */
-    enum Form
+    /** Output formats. */
+    enum Format
     {
         TEXT,
         JSON
     }
 
     @Parameter(names = "--output", description = "text for people, json for programs")
-    private Form form = Form.TEXT;
+    private Format format = Format.TEXT;
 
-    boolean json()
+    boolean isJson()
     {
-        return form == Form.JSON;
+        return format == Format.JSON;
     }
 }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/PlatformStandinCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/PlatformStandinCommand.java
@@ -14,14 +14,14 @@
 import com.beust.jcommander.Parameter;
 import com.beust.jcommander.Parameters;
 
-/** Runs the platform's stand-in as a process of its own. */
-@Parameters(commandDescription = "run the platform's stand-in, for tests")
+/** Runs the platform stand-in as a separate process. */
+@Parameters(commandDescription = "run the platform stand-in, for tests")
 final class PlatformStandinCommand implements Command
 {
-    @Parameter(names = "--listen", description = "where to listen")
+    @Parameter(names = "--listen", description = "listen address")
     private String listen = "127.0.0.1:0";
 
-    @Parameter(names = "--roster-lag-millis", description = "how much the list of workers lags, in milliseconds")
+    @Parameter(names = "--roster-lag-millis", description = "delay of the worker roster in milliseconds")
     private long lagMillis = 1_000;
 
     @Override
@@ -41,7 +41,7 @@
     {
         NetLoops loops = new NetLoops(Optional.empty());
         PlatformStandin platform = new PlatformStandin(loops, NetAddress.parse(listen), lagMillis);
-        console.line("ready " + NetAddress.format(platform.address()));
+        console.printLine("ready " + NetAddress.format(platform.address()));
         new CountDownLatch(1).await();
         return ExitCode.OK;
     }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/Replies.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/Replies.java
@@ -11,17 +11,17 @@
 import org.gaugehollow.net.HttpCaller;
 import org.gaugehollow.net.HttpReply;
 
-/** Asks a box and shows what it answers. */
+/** Calls a box and prints its reply. */
 final class Replies
 {
     private static final int TIMEOUT_MILLIS = 10_000;
-    private static final int FIRST_ERROR = 400;
+    private static final int MIN_ERROR_STATUS = 400;
 
     private Replies()
     {
     }
 
-    static HttpReply ask(HttpCaller caller, String method, String path, byte[] body)
+    static HttpReply call(HttpCaller caller, String method, String path, byte[] body)
             throws InterruptedException
     {
         try
@@ -36,24 +36,24 @@
 
     static boolean isError(HttpReply reply)
     {
-        return reply.status() >= FIRST_ERROR;
+        return reply.status() >= MIN_ERROR_STATUS;
     }
 
-    /** Shows a reply and returns the exit code that goes with it. */
-    static ExitCode show(Console console, HttpReply reply, boolean json)
+    /** Prints a reply and returns the matching exit code. */
+    static ExitCode print(Console console, HttpReply reply, boolean json)
     {
         if (isError(reply))
         {
-            console.note(new String(reply.body(), StandardCharsets.UTF_8));
+            console.printDiagnostic(new String(reply.body(), StandardCharsets.UTF_8));
             return ExitCode.REFUSED;
         }
         if (json)
         {
-            console.line(new String(reply.body(), StandardCharsets.UTF_8));
+            console.printLine(new String(reply.body(), StandardCharsets.UTF_8));
         }
         else
         {
-            console.pretty(reply.body());
+            console.printPrettyJson(reply.body());
         }
         return ExitCode.OK;
     }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/ResourceClient.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/ResourceClient.java
@@ -18,7 +18,7 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Changes resources through a box, from the revision that the box shows. */
+/** Changes resources through a box, conditional on their current revision. */
 final class ResourceClient
 {
     private static final int TIMEOUT_MILLIS = 10_000;
@@ -31,22 +31,22 @@
         this.caller = caller;
     }
 
-    /** Creates the resource or changes it from its present revision. */
+    /** Creates the resource or updates it at its current revision. */
     HttpReply apply(ResourceFile resource) throws InterruptedException
     {
-        Optional<Long> revision = revisionOf(resource.path());
-        return change("PUT", resource.path(), revision, Json.write(resource.spec()));
+        Optional<Long> revision = fetchRevision(resource.path());
+        return send("PUT", resource.path(), revision, Json.write(resource.spec()));
     }
 
-    /** Removes the resource at its present revision. */
+    /** Deletes the resource at its current revision. */
     HttpReply delete(String path) throws InterruptedException
     {
-        return change("DELETE", path, revisionOf(path), new byte[0]);
+        return send("DELETE", path, fetchRevision(path), new byte[0]);
     }
 
-    private Optional<Long> revisionOf(String path) throws InterruptedException
+    private Optional<Long> fetchRevision(String path) throws InterruptedException
     {
-        HttpReply reply = Replies.ask(caller, "GET", path, new byte[0]);
+        HttpReply reply = Replies.call(caller, "GET", path, new byte[0]);
         if (reply.status() == NOT_FOUND || Replies.isError(reply))
         {
             return Optional.empty();
@@ -55,7 +55,7 @@
         return Optional.of(view.path("revision").asLong());
     }
 
-    private HttpReply change(String method, String path, Optional<Long> revision, byte[] body)
+    private HttpReply send(String method, String path, Optional<Long> revision, byte[] body)
             throws InterruptedException
     {
         HttpHeaders headers = new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, HttpReply.JSON_TYPE);
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/ResourceFile.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/ResourceFile.java
@@ -18,11 +18,11 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * A resource as files hold it.
+ * Resource as written in a file.
  *
- * @param kind the kind's plural, such as {@code workloads}
- * @param name its name
- * @param spec its content
+ * @param kind plural name of the kind, such as {@code workloads}
+ * @param name resource name
+ * @param spec resource content
  */
 record ResourceFile(String kind, String name, JsonNode spec)
 {
@@ -42,7 +42,7 @@
         return "/v1/" + kind + '/' + name;
     }
 
-    /** Reads one resource or an array of them. */
+    /** Reads a file that holds one resource or an array of resources. */
     static List<ResourceFile> readAll(Path file)
     {
         byte[] bytes;
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/ServerOptions.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/ServerOptions.java
@@ -12,23 +12,23 @@
 
 import com.beust.jcommander.Parameter;
 
-/** Which box a command asks. */
+/** Options that select the box to call. */
 final class ServerOptions
 {
-    static final String DEFAULT_OPERATOR = "127.0.0.1:7711";
-    private static final String VARIABLE = "GAUGEHOLLOW_SERVER";
+    static final String DEFAULT_OPERATOR_ADDRESS = "127.0.0.1:7711";
+    private static final String SERVER_VARIABLE = "GAUGEHOLLOW_SERVER";
 
-    @Parameter(names = "--server", description = "operators' address of a box; else the variable " + VARIABLE
-            + ", else " + DEFAULT_OPERATOR)
+    @Parameter(names = "--server", description = "operator address of a box; default: environment variable "
+            + SERVER_VARIABLE + " or " + DEFAULT_OPERATOR_ADDRESS)
     private String server;
 
     String address()
     {
-        return Optional.ofNullable(server).or(() -> Optional.ofNullable(System.getenv(VARIABLE)))
-                .orElse(DEFAULT_OPERATOR);
+        return Optional.ofNullable(server).or(() -> Optional.ofNullable(System.getenv(SERVER_VARIABLE)))
+                .orElse(DEFAULT_OPERATOR_ADDRESS);
     }
 
-    HttpCaller caller(NetLoops loops)
+    HttpCaller createCaller(NetLoops loops)
     {
         return new HttpCaller(loops, NetAddress.parse(address()));
     }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/SubmitCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/SubmitCommand.java
@@ -26,30 +26,30 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 import io.netty.handler.codec.http.HttpHeaders;
 
-/** Sends one request the way a caller does and shows the whole answer. */
+/** Sends one request as a caller and prints the complete answer. */
 @Parameters(commandDescription = "send one request as a caller")
 final class SubmitCommand implements Command
 {
-    static final String DEFAULT_CALLER = "127.0.0.1:7710";
-    private static final int GRACE_MILLIS = 1_000;
+    static final String DEFAULT_CALLER_ADDRESS = "127.0.0.1:7710";
+    private static final int TIMEOUT_GRACE_MILLIS = 1_000;
 
     @Parameter(description = "WORKLOAD", required = true)
     private String workload;
 
-    @Parameter(names = "--team", description = "the caller's team")
+    @Parameter(names = "--team", description = "team of the caller")
     private String team = "demo";
 
-    @Parameter(names = "--key", description = "the key of a request that may not be repeated")
+    @Parameter(names = "--key", description = "idempotency key, for workloads that are not repeatable")
     private String key;
 
-    @Parameter(names = "--body", description = "the body")
+    @Parameter(names = "--body", description = "request body")
     private String body = "{}";
 
-    @Parameter(names = "--timeout-millis", description = "how long to wait, in milliseconds")
+    @Parameter(names = "--timeout-millis", description = "timeout in milliseconds")
     private int timeoutMillis = 5_000;
 
-    @Parameter(names = "--server", description = "callers' address of a box")
-    private String server = DEFAULT_CALLER;
+    @Parameter(names = "--server", description = "caller address of a box")
+    private String server = DEFAULT_CALLER_ADDRESS;
 
     @ParametersDelegate
     private final OutputOptions output = new OutputOptions();
@@ -81,15 +81,15 @@
         try (NetLoops loops = new NetLoops(Optional.empty());
                 HttpCaller caller = new HttpCaller(loops, NetAddress.parse(server)))
         {
-            return show(console, ask(caller, request));
+            return printReply(console, send(caller, request));
         }
     }
 
-    private HttpReply ask(HttpCaller caller, HttpMessage request) throws InterruptedException
+    private HttpReply send(HttpCaller caller, HttpMessage request) throws InterruptedException
     {
         try
         {
-            return caller.call(request, timeoutMillis + GRACE_MILLIS);
+            return caller.call(request, timeoutMillis + TIMEOUT_GRACE_MILLIS);
         }
         catch (GaugehollowException e)
         {
@@ -97,25 +97,25 @@
         }
     }
 
-    private ExitCode show(Console console, HttpReply reply)
+    private ExitCode printReply(Console console, HttpReply reply)
     {
-        Map<String, String> facts = new LinkedHashMap<>();
-        facts.put("status", Integer.toString(reply.status()));
+        Map<String, String> fields = new LinkedHashMap<>();
+        fields.put("status", Integer.toString(reply.status()));
         for (String header : new String[]{UpstreamHeaders.OUTCOME, UpstreamHeaders.CODE, UpstreamHeaders.TASK,
                 UpstreamHeaders.BOX, UpstreamHeaders.UPSTREAM, "Retry-After"})
         {
-            Optional.ofNullable(reply.headers().get(header)).ifPresent(value -> facts.put(header, value));
+            Optional.ofNullable(reply.headers().get(header)).ifPresent(value -> fields.put(header, value));
         }
         String text = new String(reply.body(), StandardCharsets.UTF_8);
-        if (output.json())
+        if (output.isJson())
         {
-            facts.put("body", text);
-            console.json(facts);
+            fields.put("body", text);
+            console.printJson(fields);
         }
         else
         {
-            facts.forEach((name, value) -> console.line(name + ": " + value));
-            console.line(text);
+            fields.forEach((name, value) -> console.printLine(name + ": " + value));
+            console.printLine(text);
         }
         return "answered".equals(reply.headers().get(UpstreamHeaders.OUTCOME))
                 ? ExitCode.OK
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/TimelineCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/TimelineCommand.java
@@ -24,11 +24,11 @@
 import com.beust.jcommander.Parameters;
 import com.beust.jcommander.ParametersDelegate;
 
-/** Merges the events of several boxes in the order of their hybrid time. */
-@Parameters(commandDescription = "show the events of several boxes in one order")
+/** Prints the events of several boxes, ordered by hybrid time. */
+@Parameters(commandDescription = "show the events of several boxes in time order")
 final class TimelineCommand implements Command
 {
-    @Parameter(names = "--servers", required = true, description = "operators' addresses, separated by commas")
+    @Parameter(names = "--servers", required = true, description = "operator addresses of the boxes, separated by commas")
     private List<String> servers = new ArrayList<>();
 
     @Parameter(names = "--subject", description = "only events about this task, worker, box or resource")
@@ -63,36 +63,36 @@
         }
         merged.sort(Comparator.comparingLong(Event::time));
         merged.stream().filter(e -> subject == null || subject.equals(e.subject()))
-                .forEach(e -> show(console, e));
+                .forEach(e -> printEvent(console, e));
         return result;
     }
 
-    /** A box that does not answer is named, and the others are shown all the same. */
+    /** Adds the events of one box; returns false and prints a diagnostic if the box does not answer. */
     private static boolean addEvents(Console console, NetLoops loops, String server, List<Event> merged)
             throws InterruptedException
     {
         try (HttpCaller caller = new HttpCaller(loops, NetAddress.parse(server)))
         {
-            HttpReply reply = Replies.ask(caller, "GET", "/v1/timeline", new byte[0]);
+            HttpReply reply = Replies.call(caller, "GET", "/v1/timeline", new byte[0]);
             merged.addAll(List.of(Json.read(reply.body(), Event[].class, ResultCode.STORE_BAD_ANSWER)));
             return true;
         }
         catch (GaugehollowException e)
         {
-            console.note("no events of " + server + ": " + e.getMessage());
+            console.printDiagnostic("cannot read events of " + server + ": " + e.getMessage());
             return false;
         }
     }
 
-    private void show(Console console, Event event)
+    private void printEvent(Console console, Event event)
     {
-        if (output.json())
+        if (output.isJson())
         {
-            console.json(event);
+            console.printJson(event);
             return;
         }
         Instant at = Instant.ofEpochMilli(HybridClock.millisOf(event.time()));
-        console.line(String.format("%s %-22s E%d %-20s %s %s", at, event.process(), event.number(),
+        console.printLine(String.format("%s %-22s E%d %-20s %s %s", at, event.process(), event.number(),
                 event.name(), event.subject(), event.text()));
     }
 }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/VersionCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/VersionCommand.java
@@ -8,7 +8,7 @@
 
 import com.beust.jcommander.Parameters;
 
-/** Shows the version. */
+/** Prints the version. */
 @Parameters(commandDescription = "show the version")
 final class VersionCommand implements Command
 {
@@ -29,7 +29,7 @@
     {
         String version = Optional.ofNullable(VersionCommand.class.getPackage().getImplementationVersion())
                 .orElse("development");
-        console.line("gaugehollow " + version + ", Java " + Runtime.version());
+        console.printLine("gaugehollow " + version + ", Java " + Runtime.version());
         return ExitCode.OK;
     }
 }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/WatchCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/WatchCommand.java
@@ -21,18 +21,18 @@
 
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 
-/** Shows changes as they are accepted, or placements as they happen, one JSON object a line. */
+/** Prints resource changes or placements as they happen, one JSON object per line. */
 @Parameters(commandDescription = "show changes of KIND, or placements, as they happen")
 final class WatchCommand implements Command
 {
     private static final int OK = 200;
-    private static final int CONNECT_MILLIS = 3_000;
-    private static final long SILENCE_SECONDS = 30;
+    private static final int CONNECT_TIMEOUT_MILLIS = 3_000;
+    private static final long READ_TIMEOUT_SECONDS = 30;
 
     @Parameter(description = "KIND | placements", required = true)
-    private String what;
+    private String target;
 
-    @Parameter(names = "--from", description = "the revision or placement number to start after; now if absent")
+    @Parameter(names = "--from", description = "revision or placement number to start after; default: the current one")
     private Long from;
 
     @ParametersDelegate
@@ -54,18 +54,18 @@
     public ExitCode run(Console console) throws InterruptedException
     {
         String query = from == null ? "watch=true" : "watch=true&from=" + from;
-        HttpMessage request = new HttpMessage("GET", "/v1/" + what, query, new DefaultHttpHeaders(),
+        HttpMessage request = new HttpMessage("GET", "/v1/" + target, query, new DefaultHttpHeaders(),
                 new byte[0]);
         try (NetLoops loops = new NetLoops(Optional.empty());
-                HttpCaller caller = server.caller(loops);
-                HttpConnection connection = caller.openOwn(CONNECT_MILLIS))
+                HttpCaller caller = server.createCaller(loops);
+                HttpConnection connection = caller.openOwn(CONNECT_TIMEOUT_MILLIS))
         {
             HttpReply head = connection.openStream(request, nextDeadline());
-            byte[] piece = connection.readChunk(nextDeadline(), false);
-            while (piece != null)
+            byte[] chunk = connection.readChunk(nextDeadline(), false);
+            while (chunk != null)
             {
-                console.line(new String(piece, StandardCharsets.UTF_8).stripTrailing());
-                piece = connection.readChunk(nextDeadline(), false);
+                console.printLine(new String(chunk, StandardCharsets.UTF_8).stripTrailing());
+                chunk = connection.readChunk(nextDeadline(), false);
             }
             return head.status() == OK ? ExitCode.OK : ExitCode.REFUSED;
         }
@@ -73,6 +73,6 @@
 
     private static long nextDeadline()
     {
-        return SteadyClock.nanos() + TimeUnit.SECONDS.toNanos(SILENCE_SECONDS);
+        return SteadyClock.nanos() + TimeUnit.SECONDS.toNanos(READ_TIMEOUT_SECONDS);
     }
 }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/WorkerStandinCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/WorkerStandinCommand.java
@@ -23,50 +23,50 @@
 import com.beust.jcommander.Parameters;
 
 /**
- * Runs an upstream's stand-in as a process of its own. SIGTERM makes it leave: it drains and then
- * ends.
+ * Runs an upstream stand-in as a separate process. On SIGTERM it rejects new requests, drains and
+ * exits.
  */
-@Parameters(commandDescription = "run an upstream's stand-in, for tests")
+@Parameters(commandDescription = "run an upstream stand-in, for tests")
 final class WorkerStandinCommand implements Command
 {
     private static final int TIMEOUT_MILLIS = 2_000;
-    /** For so long a worker tries to tell the platform of itself before it gives up. */
-    private static final long START_NANOS = TimeUnit.SECONDS.toNanos(30);
-    private static final int RETRY_MILLIS = 200;
-    /** For so long a leaving worker still refuses new requests before it ends. */
-    private static final long LINGER_MILLIS = 1_500;
+    /** Total time to retry the registration with the platform at startup. */
+    private static final long ANNOUNCE_TIMEOUT_NANOS = TimeUnit.SECONDS.toNanos(30);
+    private static final int ANNOUNCE_RETRY_MILLIS = 200;
+    /** Time during which a leaving worker rejects new requests before it drains. */
+    private static final long REJECT_BEFORE_STOP_MILLIS = 1_500;
 
-    @Parameter(names = "--listen", description = "where to listen")
+    @Parameter(names = "--listen", description = "listen address")
     private String listen = "127.0.0.1:0";
 
-    @Parameter(names = "--advertise", description = "the address that the list shows, if it differs")
+    @Parameter(names = "--advertise", description = "address in the roster, if it differs from the listen address")
     private String advertise;
 
-    @Parameter(names = "--platform", required = true, description = "the platform's stand-in")
+    @Parameter(names = "--platform", required = true, description = "address of the platform stand-in")
     private String platform;
 
-    @Parameter(names = "--id", required = true, description = "the worker's id")
+    @Parameter(names = "--id", required = true, description = "worker id")
     private String id;
 
-    @Parameter(names = "--hall", required = true, description = "its data hall")
+    @Parameter(names = "--hall", required = true, description = "data hall")
     private String hall;
 
-    @Parameter(names = "--rack", description = "its rack")
+    @Parameter(names = "--rack", description = "rack")
     private String rack = "r1";
 
-    @Parameter(names = "--slots", description = "how many requests it runs at once")
+    @Parameter(names = "--slots", description = "maximum number of concurrent requests")
     private int slots = 8;
 
-    @Parameter(names = "--cpu-millis", description = "thousandths of a processor")
+    @Parameter(names = "--cpu-millis", description = "CPU capacity in thousandths of a processor")
     private int cpuMillis = 16_000;
 
-    @Parameter(names = "--memory-mib", description = "memory in MiB")
+    @Parameter(names = "--memory-mib", description = "memory capacity in MiB")
     private int memoryMib = 32_768;
 
-    @Parameter(names = "--accelerators", description = "accelerators")
+    @Parameter(names = "--accelerators", description = "number of accelerators")
     private int accelerators;
 
-    @Parameter(names = "--no-fencing", description = "accept starts of older owners too")
+    @Parameter(names = "--no-fencing", description = "accept starts from older owners")
     private boolean noFencing;
 
     @Override
@@ -90,22 +90,23 @@
         WorkerStandin worker = new WorkerStandin(loops, NetAddress.parse(listen), options);
         String advertised = advertise == null ? NetAddress.format(worker.address()) : advertise;
         HttpCaller caller = new HttpCaller(loops, NetAddress.parse(platform));
-        announceUntilAnswered(caller, worker.rosterLine(advertised, "live", false));
-        console.line("ready " + NetAddress.format(worker.address()));
-        CountDownLatch left = new CountDownLatch(1);
+        announceWithRetry(caller, worker.rosterLine(advertised, "live", false));
+        console.printLine("ready " + NetAddress.format(worker.address()));
+        CountDownLatch stopped = new CountDownLatch(1);
         Runtime.getRuntime()
-                .addShutdownHook(new Thread(() -> leave(worker, caller, advertised, left), "leave"));
-        left.await();
+                .addShutdownHook(new Thread(() -> leave(worker, caller, advertised, stopped), "leave"));
+        stopped.await();
         return ExitCode.OK;
     }
 
-    private static void leave(WorkerStandin worker, HttpCaller caller, String advertised, CountDownLatch left)
+    private static void leave(WorkerStandin worker, HttpCaller caller, String advertised,
+            CountDownLatch stopped)
     {
         try
         {
             worker.leave();
             announce(caller, worker.rosterLine(advertised, "leaving", false));
-            Thread.sleep(LINGER_MILLIS);
+            Thread.sleep(REJECT_BEFORE_STOP_MILLIS);
             worker.drain();
             announce(caller, worker.rosterLine(advertised, "leaving", true));
         }
@@ -115,21 +116,20 @@
         }
         catch (GaugehollowException e)
         {
-            // the platform is silent; the boxes see by themselves that the worker leaves
+            // the platform is unresponsive; boxes learn from the worker itself that it is leaving
         }
         finally
         {
-            left.countDown();
+            stopped.countDown();
         }
     }
 
     /**
-     * Tells the platform of the worker, again and again as a real worker does it. The call changes
-     * nothing if it was carried out before.
+     * Registers the worker with the platform and retries until it answers. The call is idempotent.
      */
-    private static void announceUntilAnswered(HttpCaller caller, RosterLine line) throws InterruptedException
+    private static void announceWithRetry(HttpCaller caller, RosterLine line) throws InterruptedException
     {
-        long endNanos = SteadyClock.nanos() + START_NANOS;
+        long deadlineNanos = SteadyClock.nanos() + ANNOUNCE_TIMEOUT_NANOS;
         while (true)
         {
             try
@@ -139,12 +139,12 @@
             }
             catch (GaugehollowException e)
             {
-                if (SteadyClock.nanos() - endNanos > 0)
+                if (SteadyClock.nanos() - deadlineNanos > 0)
                 {
                     throw e;
                 }
             }
-            Thread.sleep(RETRY_MILLIS);
+            Thread.sleep(ANNOUNCE_RETRY_MILLIS);
         }
     }
 
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/AtMostOnceTest.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/AtMostOnceTest.java
@@ -19,18 +19,18 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** A goal alert or booking that may not be repeated runs at most once. */
+/** Guards against requests of non-repeatable workloads that run twice. */
 class AtMostOnceTest
 {
-    private static final String SLOW = "{\"millis\":600,\"echo\":\"goal\"}";
-    private static final String QUICK = "{\"millis\":1,\"echo\":\"goal\"}";
-    private static final int KEYS = 24;
+    private static final String SLOW_BODY = "{\"millis\":600,\"echo\":\"goal\"}";
+    private static final String QUICK_BODY = "{\"millis\":1,\"echo\":\"goal\"}";
+    private static final int KEY_COUNT = 24;
     private TestCell cell;
 
     @BeforeEach
     void start() throws InterruptedException
     {
-        cell = TestCell.started(new CellOptions(List.of("bole", "kality"), 3, 2, 8, true));
+        cell = TestCell.start(new CellOptions(List.of("bole", "kality"), 3, 2, 8, true));
     }
 
     @AfterEach
@@ -40,116 +40,119 @@
     }
 
     @Test
-    void askingAgainThroughAnotherBoxOrAnotherHallGetsTheOneAnswer() throws Exception
+    void repeatedRequestsThroughOtherBoxesAndHallsRunOnce() throws Exception
     {
-        List<Callable<HttpReply>> asks = new ArrayList<>();
-        for (int i = 0; i < KEYS; i++)
+        List<Callable<HttpReply>> calls = new ArrayList<>();
+        for (int i = 0; i < KEY_COUNT; i++)
         {
             String key = "key-" + i;
             for (TestBox box : cell.boxes.values())
             {
-                asks.add(() -> cell.ask(box, "goal", "team-bole", key, "{\"millis\":30,\"echo\":\"goal\"}",
+                calls.add(() -> cell.send(box, "goal", "team-bole", key, "{\"millis\":30,\"echo\":\"goal\"}",
                         10_000));
             }
         }
-        for (HttpReply reply : WholePathTest.all(asks, 30))
+        for (HttpReply reply : EndToEndTest.callAll(calls, 30))
         {
             assertWithMessage(TestCell.text(reply)).that(TestCell.outcome(reply)).isEqualTo("answered");
         }
-        for (int i = 0; i < KEYS; i++)
+        for (int i = 0; i < KEY_COUNT; i++)
         {
-            assertThat(cell.startsOfKey("key-" + i)).isEqualTo(1);
+            assertThat(cell.countStartsOfKey("key-" + i)).isEqualTo(1);
         }
     }
 
     @Test
-    void afterTheOwnerWasKilledInMidRunNothingRunsTwice() throws Exception
+    void keysRunAtMostOnceWhenTheirOwnerIsKilledMidRun() throws Exception
     {
         TestBox victim = cell.boxesOf("bole").get(0);
         TestBox other = cell.boxesOf("bole").get(1);
-        askAllWhile(other, victim.process::kill);
-        assertTruthfulAfterwards(List.of(other, cell.boxesOf("bole").get(2), cell.boxesOf("kality").get(0)));
+        sendAllDuringFault(other, victim.process::kill);
+        assertAnswersMatchWorkerRecords(
+                List.of(other, cell.boxesOf("bole").get(2), cell.boxesOf("kality").get(0)));
     }
 
     @Test
-    void anOwnerFrozenPastItsLeaseThatWakesRunsNothingTwice() throws Exception
+    void keysRunAtMostOnceWhenTheirOwnerIsFrozenPastItsLease() throws Exception
     {
         TestBox victim = cell.boxesOf("bole").get(0);
         TestBox other = cell.boxesOf("bole").get(1);
-        askAllWhile(other, victim.process::freeze);
-        TestCell.await("the frozen box is taken out", () -> other.status().path("boxes").size() == 2);
-        reaskAll(List.of(other));
+        sendAllDuringFault(other, victim.process::freeze);
+        TestCell.await("the frozen box is removed from the map",
+                () -> other.status().path("boxes").size() == 2);
+        resendAll(List.of(other));
         victim.process.thaw();
-        assertTruthfulAfterwards(List.of(other, victim));
+        assertAnswersMatchWorkerRecords(List.of(other, victim));
     }
 
     @Test
-    void whileTheStoreIsDownAndABoxIsKilledNothingRunsTwice() throws Exception
+    void keysRunAtMostOnceWhenABoxIsKilledDuringAStoreOutage() throws Exception
     {
         TestBox victim = cell.boxesOf("bole").get(0);
         TestBox other = cell.boxesOf("bole").get(1);
-        cell.platform(new PlatformSwitches(true, 0, 0, true));
+        cell.setPlatformSwitches(new PlatformSwitches(true, 0, 0, true));
         TestCell.await("rights are frozen", () -> "frozen".equals(other.status().path("rights").asText()));
-        askAllWhile(other, victim.process::kill);
-        reaskAll(List.of(other, cell.boxesOf("bole").get(2)));
-        cell.platform(PlatformSwitches.GOOD);
-        TestCell.await("the killed box is taken out", () -> other.status().path("boxes").size() == 2);
-        assertTruthfulAfterwards(List.of(other, cell.boxesOf("bole").get(2)));
+        sendAllDuringFault(other, victim.process::kill);
+        resendAll(List.of(other, cell.boxesOf("bole").get(2)));
+        cell.setPlatformSwitches(PlatformSwitches.NORMAL);
+        TestCell.await("the killed box is removed from the map",
+                () -> other.status().path("boxes").size() == 2);
+        assertAnswersMatchWorkerRecords(List.of(other, cell.boxesOf("bole").get(2)));
     }
 
     @Test
-    void whenOwnerAndSuccessorDieTogetherOldKeysAreUnknownAndNewOnesRun() throws Exception
+    void newKeysRunAfterOwnerAndSuccessorAreKilledTogether() throws Exception
     {
         List<TestBox> bole = cell.boxesOf("bole");
-        runAll(bole.get(0), QUICK);
+        runAll(bole.get(0), QUICK_BODY);
         bole.get(0).process.kill();
         bole.get(1).process.kill();
-        TestBox left = bole.get(2);
-        TestCell.await("the last box owns everything", () -> left.status().path("keySlots").asInt() == 64
-                && left.status().path("boxes").size() == 1);
-        reaskAll(List.of(left));
-        for (int i = 0; i < KEYS; i++)
+        TestBox survivor = bole.get(2);
+        TestCell.await("the last box owns everything", () -> survivor.status().path("keySlots").asInt() == 64
+                && survivor.status().path("boxes").size() == 1);
+        resendAll(List.of(survivor));
+        for (int i = 0; i < KEY_COUNT; i++)
         {
-            assertThat(cell.startsOfKey("key-" + i)).isAtMost(1);
+            assertThat(cell.countStartsOfKey("key-" + i)).isAtMost(1);
         }
-        TestCell.await("a key made later runs", () -> "answered".equals(
-                TestCell.outcome(cell.ask(left, "goal", "new-" + SteadyClock.nanos(), QUICK, 3_000))));
+        TestCell.await("a new key runs", () -> "answered".equals(TestCell
+                .outcome(cell.send(survivor, "goal", "new-" + SteadyClock.nanos(), QUICK_BODY, 3_000))));
     }
 
     private void runAll(TestBox box, String body) throws Exception
     {
-        List<Callable<HttpReply>> asks = new ArrayList<>();
-        for (int i = 0; i < KEYS; i++)
+        List<Callable<HttpReply>> calls = new ArrayList<>();
+        for (int i = 0; i < KEY_COUNT; i++)
         {
             String key = "key-" + i;
-            asks.add(() -> cell.ask(box, "goal", "team-bole", key, body, 4_000));
+            calls.add(() -> cell.send(box, "goal", "team-bole", key, body, 4_000));
         }
-        for (HttpReply reply : WholePathTest.all(asks, KEYS))
+        for (HttpReply reply : EndToEndTest.callAll(calls, KEY_COUNT))
         {
             assertThat(TestCell.outcome(reply)).isEqualTo("answered");
         }
     }
 
-    /** Asks for all keys through a box and does something while the requests run. */
-    private void askAllWhile(TestBox box, Runnable fault) throws Exception
+    /** Sends all keys through a box and injects a fault while the requests run. */
+    private void sendAllDuringFault(TestBox box, Runnable fault) throws Exception
     {
-        List<CompletableFuture<Void>> asks = new ArrayList<>();
-        for (int i = 0; i < KEYS; i++)
+        List<CompletableFuture<Void>> calls = new ArrayList<>();
+        for (int i = 0; i < KEY_COUNT; i++)
         {
             String key = "key-" + i;
-            asks.add(CompletableFuture.runAsync(() -> askQuietly(box, key, SLOW, 1_500),
+            calls.add(CompletableFuture.runAsync(() -> sendUnchecked(box, key, SLOW_BODY, 1_500),
                     Thread::startVirtualThread));
         }
         TestCell.await("requests run", () -> !cell.starts().isEmpty());
         fault.run();
-        asks.forEach(CompletableFuture::join);
+        calls.forEach(CompletableFuture::join);
     }
 
-    private HttpReply askQuietly(TestBox box, String key, String body, int timeoutMillis)
+    private HttpReply sendUnchecked(TestBox box, String key, String body, int timeoutMillis)
     {
         try
         {
-            return cell.ask(box, "goal", "team-bole", key, body, timeoutMillis);
+            return cell.send(box, "goal", "team-bole", key, body, timeoutMillis);
         }
         catch (InterruptedException e)
         {
@@ -157,29 +160,26 @@
         }
     }
 
-    private List<HttpReply> reaskAll(List<TestBox> boxes) throws Exception
+    private List<HttpReply> resendAll(List<TestBox> boxes) throws Exception
     {
-        List<Callable<HttpReply>> asks = new ArrayList<>();
-        for (int i = 0; i < KEYS; i++)
+        List<Callable<HttpReply>> calls = new ArrayList<>();
+        for (int i = 0; i < KEY_COUNT; i++)
         {
             String key = "key-" + i;
-            boxes.forEach(box -> asks.add(() -> askQuietly(box, key, QUICK, 3_000)));
+            boxes.forEach(box -> calls.add(() -> sendUnchecked(box, key, QUICK_BODY, 3_000)));
         }
-        return WholePathTest.all(asks, 24);
+        return EndToEndTest.callAll(calls, 24);
     }
 
-    /**
-     * Every key ran at most once, a later ask says nothing that the workers' records belie, and service
-     * goes on.
-     */
-    private void assertTruthfulAfterwards(List<TestBox> boxes) throws Exception
+    /** Asserts that every key ran at most once and that repeated requests are answered accordingly. */
+    private void assertAnswersMatchWorkerRecords(List<TestBox> boxes) throws Exception
     {
-        TestBox asked = boxes.get(0);
+        TestBox target = boxes.get(0);
         TestCell.await("every key gets a final answer", () ->
         {
-            for (int i = 0; i < KEYS; i++)
+            for (int i = 0; i < KEY_COUNT; i++)
             {
-                String outcome = TestCell.outcome(askQuietly(asked, "key-" + i, QUICK, 3_000));
+                String outcome = TestCell.outcome(sendUnchecked(target, "key-" + i, QUICK_BODY, 3_000));
                 if (!"answered".equals(outcome) && !"unknown".equals(outcome))
                 {
                     return false;
@@ -187,10 +187,10 @@
             }
             return true;
         });
-        List<HttpReply> replies = reaskAll(boxes);
-        for (int i = 0; i < KEYS; i++)
+        List<HttpReply> replies = resendAll(boxes);
+        for (int i = 0; i < KEY_COUNT; i++)
         {
-            long starts = cell.startsOfKey("key-" + i);
+            long starts = cell.countStartsOfKey("key-" + i);
             assertWithMessage("key-" + i).that(starts).isAtMost(1);
             for (int b = 0; b < boxes.size(); b++)
             {
@@ -205,6 +205,6 @@
                 }
             }
         }
-        assertThat(cell.overloads()).isEqualTo(0);
+        assertThat(cell.countOverloads()).isEqualTo(0);
     }
 }
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/BackgroundLoad.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/BackgroundLoad.java
@@ -14,57 +14,58 @@
 import org.gaugehollow.net.HttpReply;
 
 /**
- * Callers that ask until they are stopped, and remember every answer. They go on at once after an
- * answered request and pause after any other, as callers who are told to come back later do.
+ * Sends requests until stopped and collects all replies. A caller continues at once after an
+ * answered request and waits before the next one otherwise.
  */
 final class BackgroundLoad
 {
     private static final int LONG_TIMEOUT_MILLIS = 8_000;
     private static final int SHORT_TIMEOUT_MILLIS = 3_000;
 
-    private static final int PAUSE_MILLIS = 50;
+    private static final int RETRY_DELAY_MILLIS = 50;
 
     private final String prefix;
     private final int timeoutMillis;
 
     private final Map<String, HttpReply> replies = new ConcurrentHashMap<>();
     private final AtomicBoolean running = new AtomicBoolean(true);
-    private final AtomicInteger next = new AtomicInteger();
+    private final AtomicInteger nextNumber = new AtomicInteger();
     private final List<Thread> callers = new ArrayList<>();
 
-    /** Starts callers that go round the boxes; keyed requests get a new key each. */
-    BackgroundLoad(TestCell cell, List<TestBox> boxes, int count, String workload, int millis)
+    /** Starts callers that use the boxes in turn; each keyed request gets a new key. */
+    BackgroundLoad(TestCell cell, List<TestBox> boxes, int callerCount, String workload, int millis)
     {
-        this(cell, boxes, count, workload, millis, "load");
+        this(cell, boxes, callerCount, workload, millis, "load");
     }
 
-    /** The same, with names of their own for the requests and callers of less patience. */
-    BackgroundLoad(TestCell cell, List<TestBox> boxes, int count, String workload, int millis, String prefix)
+    /** Starts callers with the given prefix for keys and echo values and a shorter timeout. */
+    BackgroundLoad(TestCell cell, List<TestBox> boxes, int callerCount, String workload, int millis,
+            String prefix)
     {
         cell.register(this);
         this.prefix = prefix;
         this.timeoutMillis = "load".equals(prefix) ? LONG_TIMEOUT_MILLIS : SHORT_TIMEOUT_MILLIS;
-        for (int i = 0; i < count; i++)
+        for (int i = 0; i < callerCount; i++)
         {
-            callers.add(Thread.startVirtualThread(() -> askUntilStopped(cell, boxes, workload, millis)));
+            callers.add(Thread.startVirtualThread(() -> sendUntilStopped(cell, boxes, workload, millis)));
         }
     }
 
-    private void askUntilStopped(TestCell cell, List<TestBox> boxes, String workload, int millis)
+    private void sendUntilStopped(TestCell cell, List<TestBox> boxes, String workload, int millis)
     {
         try
         {
             while (running.get())
             {
-                int number = next.getAndIncrement();
+                int number = nextNumber.getAndIncrement();
                 String key = "goal".equals(workload) ? prefix + '-' + number : null;
                 String body = "{\"millis\":" + millis + ",\"echo\":\"" + prefix + '-' + number + "\"}";
                 TestBox box = boxes.get(number % boxes.size());
-                HttpReply reply = cell.ask(box, workload, key, body, timeoutMillis);
+                HttpReply reply = cell.send(box, workload, key, body, timeoutMillis);
                 replies.put(prefix + '-' + number, reply);
                 if (!"answered".equals(TestCell.outcome(reply)))
                 {
-                    Thread.sleep(PAUSE_MILLIS);
+                    Thread.sleep(RETRY_DELAY_MILLIS);
                 }
             }
         }
@@ -74,19 +75,19 @@
         }
     }
 
-    int answered()
+    int answeredCount()
     {
         return (int) replies.values().stream().filter(r -> "answered".equals(TestCell.outcome(r))).count();
     }
 
-    /** Ends the load without waiting for its answers. */
-    void abandon()
+    /** Stops the load without waiting for replies. */
+    void cancel()
     {
         running.set(false);
         callers.forEach(Thread::interrupt);
     }
 
-    /** Ends the load and returns each request's echo with its answer. */
+    /** Stops the load and returns the replies by the echo value of their request. */
     Map<String, HttpReply> stop() throws InterruptedException
     {
         running.set(false);
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/CellOptions.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/CellOptions.java
@@ -7,13 +7,13 @@
 import java.util.List;
 
 /**
- * What a test's cell consists of.
+ * Layout of a test cell.
  *
- * @param halls the halls
- * @param boxesPerHall entry boxes in each
- * @param workersPerHall workers in each
- * @param slots slots of each worker
- * @param fencing whether the workers refuse older owners
+ * @param halls names of the data halls
+ * @param boxesPerHall number of entry boxes in each hall
+ * @param workersPerHall number of workers in each hall
+ * @param slots number of slots of each worker
+ * @param fencing whether workers reject starts from older owners
  */
 record CellOptions(List<String> halls, int boxesPerHall, int workersPerHall, int slots, boolean fencing)
 {
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/ConfigurationTest.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/ConfigurationTest.java
@@ -29,7 +29,8 @@
 import io.netty.handler.codec.http.DefaultHttpHeaders;
 
 /**
- * An accepted configuration is in force everywhere and never reverts; of racing operators one wins.
+ * Guards against accepted changes that are lost or reverted and against conflicting changes that
+ * are both accepted.
  */
 class ConfigurationTest
 {
@@ -38,7 +39,7 @@
     @BeforeEach
     void start() throws InterruptedException
     {
-        cell = TestCell.started(CellOptions.oneHall(3, 1));
+        cell = TestCell.start(CellOptions.oneHall(3, 1));
     }
 
     @AfterEach
@@ -47,121 +48,125 @@
         cell.close();
     }
 
-    private HttpReply change(TestBox box, long revision, int timeoutMillis) throws InterruptedException
+    private HttpReply putWorkload(TestBox box, long revision, int timeoutMillis) throws InterruptedException
     {
         byte[] spec = ("{\"taskClass\":\"batch\",\"repeatable\":true,\"timeoutMillis\":" + timeoutMillis
                 + "}").getBytes(StandardCharsets.UTF_8);
         HttpMessage message = new HttpMessage("PUT", "/v1/workloads/rebuild", "",
                 new DefaultHttpHeaders().set("If-Match", "\"" + revision + "\""), spec);
-        try (HttpCaller caller = new HttpCaller(cell.loops, NetAddress.parse(box.operators)))
+        try (HttpCaller caller = new HttpCaller(cell.loops, NetAddress.parse(box.operatorAddress)))
         {
             return caller.call(message, 10_000);
         }
     }
 
-    private static long revision(TestBox box) throws InterruptedException
+    private static long fetchRevision(TestBox box) throws InterruptedException
     {
-        return box.json("/v1/workloads/rebuild").path("revision").asLong();
+        return box.getJson("/v1/workloads/rebuild").path("revision").asLong();
     }
 
-    private static int timeout(TestBox box) throws InterruptedException
+    private static int fetchTimeoutMillis(TestBox box) throws InterruptedException
     {
-        return box.json("/v1/workloads/rebuild").path("spec").path("timeoutMillis").asInt();
+        return box.getJson("/v1/workloads/rebuild").path("spec").path("timeoutMillis").asInt();
     }
 
-    private void awaitEverywhere(int timeoutMillis) throws InterruptedException
+    private void awaitTimeoutOnAllBoxes(int timeoutMillis) throws InterruptedException
     {
         for (TestBox box : cell.boxes.values())
         {
-            TestCell.await("in force at " + box.name, () -> timeout(box) == timeoutMillis);
+            TestCell.await("change is applied at " + box.name,
+                    () -> fetchTimeoutMillis(box) == timeoutMillis);
         }
     }
 
     @Test
-    void ofRacingOperatorsExactlyOneWinsAndTheOthersSeeTheConflict() throws Exception
+    void exactlyOneOfSeveralConcurrentChangesIsAccepted() throws Exception
     {
         for (int round = 0; round < 10; round++)
         {
             TestBox first = cell.boxes.get("bole-1");
-            long base = revision(first);
+            long base = fetchRevision(first);
             List<Callable<HttpReply>> changes = new ArrayList<>();
             int offset = 1_000 * (round + 1);
             for (int i = 0; i < 6; i++)
             {
                 TestBox box = List.copyOf(cell.boxes.values()).get(i % 3);
                 int value = offset + i;
-                changes.add(() -> change(box, base, value));
+                changes.add(() -> putWorkload(box, base, value));
             }
-            List<HttpReply> replies = WholePathTest.all(changes, 6);
+            List<HttpReply> replies = EndToEndTest.callAll(changes, 6);
             assertThat(replies.stream().filter(r -> r.status() == 200).count()).isEqualTo(1);
             assertThat(replies.stream().filter(r -> r.status() == 412).count()).isEqualTo(5);
             HttpReply won = replies.stream().filter(r -> r.status() == 200).findFirst().orElseThrow();
             JsonNode view = Json.read(won.body(), JsonNode.class, ResultCode.INTERNAL);
-            awaitEverywhere(view.path("spec").path("timeoutMillis").asInt());
+            awaitTimeoutOnAllBoxes(view.path("spec").path("timeoutMillis").asInt());
         }
     }
 
     @Test
-    void aWriteWhoseAnswerIsLostIsSettledBeforeTheOperatorIsTold() throws Exception
+    void changeWhoseStoreAnswerIsLostIsReportedAsAccepted() throws Exception
     {
         TestBox box = cell.boxes.get("bole-1");
-        long base = revision(box);
-        cell.platform(new PlatformSwitches(false, 0, 1, false));
-        HttpReply reply = change(box, base, 4_321);
+        long base = fetchRevision(box);
+        cell.setPlatformSwitches(new PlatformSwitches(false, 0, 1, false));
+        HttpReply reply = putWorkload(box, base, 4_321);
         assertThat(reply.status()).isEqualTo(200);
-        awaitEverywhere(4_321);
-        assertThat(change(box, base, 9_999).status()).isEqualTo(412);
-        awaitEverywhere(4_321);
+        awaitTimeoutOnAllBoxes(4_321);
+        assertThat(putWorkload(box, base, 9_999).status()).isEqualTo(412);
+        awaitTimeoutOnAllBoxes(4_321);
     }
 
     @Test
-    void nothingRevertsOnABoxThatRestartsInAnOutage() throws Exception
+    void boxRestartedDuringAnOutageKeepsTheNewestConfiguration() throws Exception
     {
         TestBox box = cell.boxes.get("bole-1");
-        assertThat(change(box, revision(box), 7_001).status()).isEqualTo(200);
-        awaitEverywhere(7_001);
-        cell.platform(new PlatformSwitches(true, 0, 0, true));
-        TestCell.await("outage is noticed", () -> "frozen".equals(box.status().path("rights").asText()));
+        assertThat(putWorkload(box, fetchRevision(box), 7_001).status()).isEqualTo(200);
+        awaitTimeoutOnAllBoxes(7_001);
+        cell.setPlatformSwitches(new PlatformSwitches(true, 0, 0, true));
+        TestCell.await("rights are frozen", () -> "frozen".equals(box.status().path("rights").asText()));
         cell.boxes.get("bole-3").process.kill();
-        TestBox again = cell.startBox("bole-3", "bole");
-        TestCell.await("it has the newest configuration", () -> timeout(again) == 7_001);
-        HttpReply refused = change(box, revision(box), 8_000);
-        assertThat(refused.status()).isAnyOf(503, 504);
-        awaitEverywhere(7_001);
-        cell.platform(PlatformSwitches.GOOD);
-        TestCell.await("changes are accepted again", () -> change(box, revision(box), 9_001).status() == 200);
-        awaitEverywhere(9_001);
+        TestBox restarted = cell.startBox("bole-3", "bole");
+        TestCell.await("restarted box has the newest configuration",
+                () -> fetchTimeoutMillis(restarted) == 7_001);
+        HttpReply rejected = putWorkload(box, fetchRevision(box), 8_000);
+        assertThat(rejected.status()).isAnyOf(503, 504);
+        awaitTimeoutOnAllBoxes(7_001);
+        cell.setPlatformSwitches(PlatformSwitches.NORMAL);
+        TestCell.await("changes are accepted again",
+                () -> putWorkload(box, fetchRevision(box), 9_001).status() == 200);
+        awaitTimeoutOnAllBoxes(9_001);
     }
 
     @Test
-    void aWatchShowsEveryChangeOnceAndInOrder() throws Exception
+    void watchShowsEveryChangeOnceAndInOrder() throws Exception
     {
         TestBox box = cell.boxes.get("bole-1");
         TestBox watched = cell.boxes.get("bole-3");
         long from = watched.status().path("configRevision").asLong();
-        List<Long> made = new ArrayList<>();
+        List<Long> expected = new ArrayList<>();
         for (int i = 1; i <= 30; i++)
         {
-            HttpReply reply = change(box, revision(box), 1_000 + i);
+            HttpReply reply = putWorkload(box, fetchRevision(box), 1_000 + i);
             assertThat(reply.status()).isEqualTo(200);
-            made.add(Json.read(reply.body(), JsonNode.class, ResultCode.INTERNAL).path("revision").asLong());
+            expected.add(
+                    Json.read(reply.body(), JsonNode.class, ResultCode.INTERNAL).path("revision").asLong());
         }
         List<Long> seen = new ArrayList<>();
         StringBuilder partial = new StringBuilder();
-        try (HttpCaller caller = new HttpCaller(cell.loops, NetAddress.parse(watched.operators));
+        try (HttpCaller caller = new HttpCaller(cell.loops, NetAddress.parse(watched.operatorAddress));
                 HttpConnection stream = caller.openOwn(2_000))
         {
             stream.openStream(new HttpMessage("GET", "/v1/workloads", "watch=true&from=" + from,
                     new DefaultHttpHeaders(), new byte[0]), SteadyClock.nanos() + 5_000_000_000L);
-            TestCell.await("all changes were seen", () ->
+            TestCell.await("watch shows all changes", () ->
             {
                 partial.append(new String(stream.readChunk(SteadyClock.nanos() + 1_000_000_000L, true),
                         StandardCharsets.UTF_8));
                 readLines(partial, seen);
-                return seen.size() >= made.size();
+                return seen.size() >= expected.size();
             });
         }
-        assertThat(seen).isEqualTo(made);
+        assertThat(seen).isEqualTo(expected);
     }
 
     private static void readLines(StringBuilder partial, List<Long> seen)
@@ -181,12 +186,12 @@
     }
 
     @Test
-    void callsToTheStoreGrowWithHallsAndStayBelowAThirdOfItsBudget() throws Exception
+    void storeCallRateStaysBelowAThirdOfTheBudget() throws Exception
     {
-        int before = cell.platformCalls().values().stream().mapToInt(Integer::intValue).sum();
+        int before = cell.platformCallCounts().values().stream().mapToInt(Integer::intValue).sum();
         long startedAt = SteadyClock.nanos();
         Thread.sleep(5_000);
-        int after = cell.platformCalls().values().stream().mapToInt(Integer::intValue).sum();
+        int after = cell.platformCallCounts().values().stream().mapToInt(Integer::intValue).sum();
         double perSecond = (after - before) / ((SteadyClock.nanos() - startedAt) / 1e9);
         assertThat(perSecond).isLessThan(2_500 / 3.0);
     }
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/EndToEndTest.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/EndToEndTest.java
@@ -21,16 +21,16 @@
 import org.junit.jupiter.api.BeforeAll;
 import org.junit.jupiter.api.Test;
 
-/** A request served from one end to the other by separate processes. */
-class WholePathTest
+/** Guards against answers that are lost, damaged or delivered to the wrong request. */
+class EndToEndTest
 {
-    private static final int REQUESTS = 1_000;
+    private static final int REQUEST_COUNT = 1_000;
     private static TestCell cell;
 
     @BeforeAll
     static void start() throws InterruptedException
     {
-        cell = TestCell.started(CellOptions.oneHall(3, 4));
+        cell = TestCell.start(CellOptions.oneHall(3, 4));
     }
 
     @AfterAll
@@ -40,38 +40,38 @@
     }
 
     @Test
-    void thousandRequestsThroughEveryBoxEachGetTheirOwnWholeAnswer() throws Exception
+    void concurrentRequestsThroughEveryBoxGetTheirOwnAnswers() throws Exception
     {
         List<TestBox> boxes = List.copyOf(cell.boxes.values());
-        List<Callable<HttpReply>> asks = new ArrayList<>();
-        for (int i = 0; i < REQUESTS; i++)
+        List<Callable<HttpReply>> calls = new ArrayList<>();
+        for (int i = 0; i < REQUEST_COUNT; i++)
         {
             TestBox box = boxes.get(i % boxes.size());
             String body = "{\"millis\":" + i % 7 + ",\"echo\":\"mine-" + i + "\"}";
-            asks.add(() -> cell.ask(box, "lookup", null, body, 30_000));
+            calls.add(() -> cell.send(box, "lookup", null, body, 30_000));
         }
-        List<HttpReply> replies = all(asks, 40);
-        for (int i = 0; i < REQUESTS; i++)
+        List<HttpReply> replies = callAll(calls, 40);
+        for (int i = 0; i < REQUEST_COUNT; i++)
         {
             assertThat(TestCell.text(replies.get(i))).isEqualTo("{\"echo\":\"mine-" + i + "\"}");
             assertThat(TestCell.outcome(replies.get(i))).isEqualTo("answered");
             assertThat(replies.get(i).headers().get(UpstreamHeaders.UPSTREAM)).startsWith("bole-w");
         }
-        assertThat(cell.overloads()).isEqualTo(0);
+        assertThat(cell.countOverloads()).isEqualTo(0);
     }
 
     @Test
-    void anAnswerAfterTheTimeOutReachesNoOtherRequest() throws Exception
+    void lateAnswersAreNotDeliveredToOtherRequests() throws Exception
     {
         TestBox box = cell.boxes.values().iterator().next();
-        List<Callable<HttpReply>> asks = new ArrayList<>();
+        List<Callable<HttpReply>> calls = new ArrayList<>();
         for (int i = 0; i < 60; i++)
         {
             boolean late = i % 3 == 0;
             String body = "{\"millis\":" + (late ? 400 : 1) + ",\"echo\":\"own-" + i + "\"}";
-            asks.add(() -> cell.ask(box, "lookup", null, body, late ? 150 : 30_000));
+            calls.add(() -> cell.send(box, "lookup", null, body, late ? 150 : 30_000));
         }
-        List<HttpReply> replies = all(asks, 12);
+        List<HttpReply> replies = callAll(calls, 12);
         for (int i = 0; i < replies.size(); i++)
         {
             HttpReply reply = replies.get(i);
@@ -88,19 +88,19 @@
     }
 
     @Test
-    void answersThatAreCutDroppedDoubledOrMisnamedAreNeverTakenForAnothers() throws Exception
+    void brokenAnswersAreNotDeliveredToOtherRequests() throws Exception
     {
         String[] behaviours = {"cut", "drop", "twice", "wrong-task", "unnamed"};
-        List<Callable<HttpReply>> asks = new ArrayList<>();
+        List<Callable<HttpReply>> calls = new ArrayList<>();
         List<TestBox> boxes = List.copyOf(cell.boxes.values());
         for (int i = 0; i < 150; i++)
         {
             String behave = i % 2 == 0 ? "" : behaviours[i / 2 % behaviours.length];
             String body = "{\"millis\":2,\"echo\":\"b-" + i + "\",\"behave\":\"" + behave + "\"}";
             TestBox box = boxes.get(i % boxes.size());
-            asks.add(() -> cell.ask(box, "lookup", null, body, 30_000));
+            calls.add(() -> cell.send(box, "lookup", null, body, 30_000));
         }
-        List<HttpReply> replies = all(asks, 10);
+        List<HttpReply> replies = callAll(calls, 10);
         for (int i = 0; i < replies.size(); i++)
         {
             String behave = i % 2 == 0 ? "" : behaviours[i / 2 % behaviours.length];
@@ -116,27 +116,28 @@
     }
 
     @Test
-    void badInputGetsACodedAnswerAtOnce() throws Exception
+    void invalidRequestsAreRejectedWithAnErrorCode() throws Exception
     {
         TestBox box = cell.boxes.values().iterator().next();
-        assertThat(TestCell.code(cell.ask(box, "nothing", null, "{}", 1_000))).isEqualTo("2002");
-        assertThat(TestCell.code(cell.ask(box, "lookup", "no-team", null, "{}", 1_000))).isEqualTo("2003");
-        assertThat(TestCell.code(cell.ask(box, "goal", null, "{}", 1_000))).isEqualTo("2007");
-        assertThat(TestCell.code(cell.ask(box, "lookup", null, "x".repeat(70_000), 1_000))).isEqualTo("2004");
-        assertThat(cell.ask(box, "lookup", null, "x".repeat(1_100_000), 1_000).status()).isEqualTo(413);
-        HttpReply badTimeout = cell.ask(box, "lookup", null, "{}", 0);
+        assertThat(TestCell.code(cell.send(box, "nothing", null, "{}", 1_000))).isEqualTo("2002");
+        assertThat(TestCell.code(cell.send(box, "lookup", "no-team", null, "{}", 1_000))).isEqualTo("2003");
+        assertThat(TestCell.code(cell.send(box, "goal", null, "{}", 1_000))).isEqualTo("2007");
+        assertThat(TestCell.code(cell.send(box, "lookup", null, "x".repeat(70_000), 1_000)))
+                .isEqualTo("2004");
+        assertThat(cell.send(box, "lookup", null, "x".repeat(1_100_000), 1_000).status()).isEqualTo(413);
+        HttpReply badTimeout = cell.send(box, "lookup", null, "{}", 0);
         assertThat(badTimeout.status()).isEqualTo(400);
-        assertThat(box.operator("GET", "/v1/nothing", new byte[0]).status()).isEqualTo(404);
-        assertThat(box.operator("PUT", "/v1/workloads/bad",
+        assertThat(box.callOperator("GET", "/v1/nothing", new byte[0]).status()).isEqualTo(404);
+        assertThat(box.callOperator("PUT", "/v1/workloads/bad",
                 "{\"taskClass\":\"soon\"}".getBytes(StandardCharsets.UTF_8)).status()).isEqualTo(422);
     }
 
-    static List<HttpReply> all(List<Callable<HttpReply>> asks, int atOnce) throws Exception
+    static List<HttpReply> callAll(List<Callable<HttpReply>> calls, int concurrency) throws Exception
     {
-        try (ExecutorService pool = Executors.newFixedThreadPool(atOnce))
+        try (ExecutorService pool = Executors.newFixedThreadPool(concurrency))
         {
             List<HttpReply> replies = new ArrayList<>();
-            for (Future<HttpReply> reply : pool.invokeAll(asks))
+            for (Future<HttpReply> reply : pool.invokeAll(calls))
             {
                 replies.add(reply.get());
             }
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/FaultScheduleTest.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/FaultScheduleTest.java
@@ -20,24 +20,23 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Random schedules of overlapping faults over the request path, against the naive truth: each
- * request has effect at most once, exactly once if it was answered, and never if it was said not to
- * have run. Set the system property {@code gaugehollow.seeds} to run more of them,
- * {@code gaugehollow.firstSeed} to begin at one.
+ * Guards against requests that run twice or are answered wrongly under random overlapping faults.
+ * The system properties {@code gaugehollow.seeds} and {@code gaugehollow.firstSeed} select the
+ * seeds.
  */
 class FaultScheduleTest
 {
-    private static final int SEEDS = Integer.getInteger("gaugehollow.seeds", 15);
+    private static final int SEED_COUNT = Integer.getInteger("gaugehollow.seeds", 15);
     private static final int FIRST_SEED = Integer.getInteger("gaugehollow.firstSeed", 1);
     private static final int FAULT_KINDS = 7;
     private int restarts;
 
     @Test
-    void whateverFailsTogetherNothingRunsTwiceAndEveryAnswerIsTrue() throws Exception
+    void requestsRunAtMostOnceUnderRandomOverlappingFaults() throws Exception
     {
-        try (TestCell cell = TestCell.started(new CellOptions(List.of("bole"), 3, 2, 4, true)))
+        try (TestCell cell = TestCell.start(new CellOptions(List.of("bole"), 3, 2, 4, true)))
         {
-            for (int seed = FIRST_SEED; seed < FIRST_SEED + SEEDS; seed++)
+            for (int seed = FIRST_SEED; seed < FIRST_SEED + SEED_COUNT; seed++)
             {
                 runSchedule(cell, seed);
             }
@@ -60,37 +59,37 @@
             faults.add(inject(cell, random, boxes.get(random.nextInt(boxes.size())), frozen, killed));
         }
         Thread.sleep(random.nextInt(200, 3_000));
-        cell.platform(PlatformSwitches.GOOD);
-        cell.heal();
+        cell.setPlatformSwitches(PlatformSwitches.NORMAL);
+        cell.reconnectAll();
         frozen.forEach(box -> box.process.thaw());
         Map<String, HttpReply> replies = new HashMap<>(goals.stop());
         replies.putAll(lookups.stop());
         restart(cell, killed);
-        cell.awaitWhole();
+        cell.awaitConverged();
         String schedule = "seed " + seed + " " + faults;
         System.out.println(schedule + ": " + replies.size() + " requests");
-        assertTrue(cell, replies, schedule);
+        assertAnswersMatchWorkerRecords(cell, replies, schedule);
         assertWithMessage(schedule).that(cell.starts().size()).isAtLeast(before);
     }
 
-    /** Does one thing to the cell and says what. */
+    /** Injects one random fault and returns its description. */
     private static String inject(TestCell cell, UniformRandomProvider random, TestBox box,
             List<TestBox> frozen, List<TestBox> killed) throws InterruptedException
     {
         List<TestBox> others = cell.boxesOf("bole").stream().filter(b -> b != box).toList();
         switch (random.nextInt(FAULT_KINDS))
         {
-            case 0 -> cell.platform(new PlatformSwitches(true, 0, 0, true));
-            case 1 -> cell.platform(new PlatformSwitches(false, 450, 0, false));
-            case 2 -> cell.platform(new PlatformSwitches(false, 0, 3, false));
+            case 0 -> cell.setPlatformSwitches(new PlatformSwitches(true, 0, 0, true));
+            case 1 -> cell.setPlatformSwitches(new PlatformSwitches(false, 450, 0, false));
+            case 2 -> cell.setPlatformSwitches(new PlatformSwitches(false, 0, 3, false));
             case 3 -> {
-                cell.cutBetween(List.of(box), others);
-                return "peers of " + box.name + " cut";
+                cell.disconnect(List.of(box), others);
+                return "peers of " + box.name + " disconnected";
             }
             case 4 -> {
-                cell.cutFromPlatform(List.of(box));
-                cell.cutBetween(List.of(box), others);
-                return box.name + " cut off";
+                cell.disconnectFromPlatform(List.of(box));
+                cell.disconnect(List.of(box), others);
+                return box.name + " isolated";
             }
             case 5 -> {
                 if (killed.isEmpty())
@@ -109,7 +108,7 @@
                 }
             }
         }
-        return "platform disturbed";
+        return "platform fault";
     }
 
     private void restart(TestCell cell, List<TestBox> killed)
@@ -122,8 +121,8 @@
         }
     }
 
-    private static void assertTrue(TestCell cell, Map<String, HttpReply> replies, String schedule)
-            throws InterruptedException
+    private static void assertAnswersMatchWorkerRecords(TestCell cell, Map<String, HttpReply> replies,
+            String schedule) throws InterruptedException
     {
         Map<String, Integer> starts = new HashMap<>();
         for (StartRecord start : cell.starts())
@@ -132,19 +131,19 @@
         }
         replies.forEach((echo, reply) ->
         {
-            int ran = starts.getOrDefault(echo, 0);
-            String what = schedule + ' ' + echo + ' ' + TestCell.text(reply);
-            assertWithMessage(what).that(ran).isAtMost(1);
+            int runCount = starts.getOrDefault(echo, 0);
+            String description = schedule + ' ' + echo + ' ' + TestCell.text(reply);
+            assertWithMessage(description).that(runCount).isAtMost(1);
             if ("answered".equals(TestCell.outcome(reply)))
             {
-                assertWithMessage(what).that(ran).isEqualTo(1);
+                assertWithMessage(description).that(runCount).isEqualTo(1);
                 assertThat(TestCell.text(reply)).isEqualTo("{\"echo\":\"" + echo + "\"}");
             }
             if ("not-run".equals(TestCell.outcome(reply)))
             {
-                assertWithMessage(what).that(ran).isEqualTo(0);
+                assertWithMessage(description).that(runCount).isEqualTo(0);
             }
         });
-        assertWithMessage(schedule).that(cell.overloads()).isEqualTo(0);
+        assertWithMessage(schedule).that(cell.countOverloads()).isEqualTo(0);
     }
 }
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/NotRunTest.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/NotRunTest.java
@@ -22,18 +22,18 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * "Not run" means not run, an answer is whole and its own, and failing upstreams cause no storm of
- * retries.
+ * Guards against requests that ran although they were answered as not run, and against excessive
+ * retries when upstreams fail.
  */
 class NotRunTest
 {
-    private static final int CALLERS = 16;
+    private static final int CALLER_COUNT = 16;
     private TestCell cell;
 
     @BeforeEach
     void start() throws InterruptedException
     {
-        cell = TestCell.started(CellOptions.oneHall(3, 4));
+        cell = TestCell.start(CellOptions.oneHall(3, 4));
     }
 
     @AfterEach
@@ -43,32 +43,32 @@
     }
 
     @Test
-    void whatIsSaidNotToHaveRunIsOnNoWorkersRecord() throws Exception
+    void requestsAnsweredAsNotRunNeverReachedAWorker() throws Exception
     {
-        BackgroundLoad load = new BackgroundLoad(cell, List.copyOf(cell.boxes.values()), CALLERS, "lookup",
-                20);
-        TestCell.await("load runs", () -> load.answered() > 200);
+        BackgroundLoad load = new BackgroundLoad(cell, List.copyOf(cell.boxes.values()), CALLER_COUNT,
+                "lookup", 20);
+        TestCell.await("load runs", () -> load.answeredCount() > 200);
         cell.workers.get("bole-w1").freeze();
-        TestCell.await("load goes on", () -> load.answered() > 500);
+        TestCell.await("load continues", () -> load.answeredCount() > 500);
         cell.workers.get("bole-w1").thaw();
         cell.boxes.get("bole-2").process.freeze();
         Thread.sleep(3_000);
         cell.boxes.get("bole-2").process.thaw();
-        int before = load.answered();
-        TestCell.await("load goes on after the freeze", () -> load.answered() > before + 300);
-        assertAnswersTrue(load.stop());
+        int before = load.answeredCount();
+        TestCell.await("load continues after the freeze", () -> load.answeredCount() > before + 300);
+        assertAnswersMatchWorkerRecords(load.stop());
     }
 
     @Test
-    void whenHalfTheUpstreamsDieTheOthersAreNotStormed() throws Exception
+    void retriesStayLimitedWhenHalfTheUpstreamsAreKilled() throws Exception
     {
-        BackgroundLoad load = new BackgroundLoad(cell, List.copyOf(cell.boxes.values()), CALLERS, "lookup",
-                10);
-        TestCell.await("load runs", () -> load.answered() > 200);
+        BackgroundLoad load = new BackgroundLoad(cell, List.copyOf(cell.boxes.values()), CALLER_COUNT,
+                "lookup", 10);
+        TestCell.await("load runs", () -> load.answeredCount() > 200);
         cell.workers.get("bole-w1").kill();
         cell.workers.get("bole-w2").kill();
-        int before = load.answered();
-        TestCell.await("load goes on", () -> load.answered() > before + 600);
+        int before = load.answeredCount();
+        TestCell.await("load continues", () -> load.answeredCount() > before + 600);
         Map<String, HttpReply> replies = load.stop();
         double retries = 0;
         for (TestBox box : cell.boxes.values())
@@ -76,10 +76,10 @@
             retries += box.metric("gaugehollow_retries_total");
         }
         assertThat(retries).isLessThan(0.2 * replies.size() + 150);
-        assertAnswersTrue(replies);
+        assertAnswersMatchWorkerRecords(replies);
     }
 
-    private void assertAnswersTrue(Map<String, HttpReply> replies) throws InterruptedException
+    private void assertAnswersMatchWorkerRecords(Map<String, HttpReply> replies) throws InterruptedException
     {
         Map<String, Integer> starts = new HashMap<>();
         for (StartRecord start : cell.starts())
@@ -89,11 +89,11 @@
         }
         replies.forEach((echo, reply) ->
         {
-            int ran = starts.getOrDefault(echo, 0);
-            assertWithMessage(echo).that(ran).isAtMost(1);
+            int runCount = starts.getOrDefault(echo, 0);
+            assertWithMessage(echo).that(runCount).isAtMost(1);
             if ("not-run".equals(TestCell.outcome(reply)))
             {
-                assertWithMessage(echo + " " + TestCell.text(reply)).that(ran).isEqualTo(0);
+                assertWithMessage(echo + " " + TestCell.text(reply)).that(runCount).isEqualTo(0);
                 assertThat(reply.headers().get("Retry-After")).isNotNull();
             }
             if ("answered".equals(TestCell.outcome(reply)))
@@ -101,21 +101,21 @@
                 assertThat(TestCell.text(reply)).isEqualTo("{\"echo\":\"" + echo + "\"}");
             }
         });
-        assertThat(cell.overloads()).isEqualTo(0);
+        assertThat(cell.countOverloads()).isEqualTo(0);
     }
 
     @Test
-    void aRequestThatMayHaveRunIsNeverTriedAgain() throws Exception
+    void requestsThatMayHaveRunAreNotRetried() throws Exception
     {
-        List<Callable<HttpReply>> asks = new ArrayList<>();
+        List<Callable<HttpReply>> calls = new ArrayList<>();
         for (int i = 0; i < 40; i++)
         {
             String body = "{\"millis\":5,\"echo\":\"once-" + i + "\",\"behave\":\""
                     + (i % 2 == 0 ? "drop" : "cut") + "\"}";
             TestBox box = List.copyOf(cell.boxes.values()).get(i % 3);
-            asks.add(() -> cell.ask(box, "lookup", null, body, 5_000));
+            calls.add(() -> cell.send(box, "lookup", null, body, 5_000));
         }
-        for (HttpReply reply : WholePathTest.all(asks, 8))
+        for (HttpReply reply : EndToEndTest.callAll(calls, 8))
         {
             assertThat(TestCell.outcome(reply)).isAnyOf("unknown", "not-run");
         }
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/StopTest.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/StopTest.java
@@ -19,7 +19,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Planned stops cut off no request, and a leaving upstream gets no new work. */
+/** Guards against requests that are lost when a box or an upstream is stopped as planned. */
 class StopTest
 {
     private TestCell cell;
@@ -27,7 +27,7 @@
     @BeforeEach
     void start() throws InterruptedException
     {
-        cell = TestCell.started(CellOptions.oneHall(3, 4));
+        cell = TestCell.start(CellOptions.oneHall(3, 4));
     }
 
     @AfterEach
@@ -37,36 +37,37 @@
     }
 
     @Test
-    void aPlannedStopOfABoxCutsOffNothing() throws Exception
+    void plannedStopOfABoxInterruptsNoRequest() throws Exception
     {
         TestBox leaving = cell.boxes.get("bole-1");
         List<TestBox> others = List.of(cell.boxes.get("bole-2"), cell.boxes.get("bole-3"));
-        BackgroundLoad elsewhere = new BackgroundLoad(cell, others, 10, "goal", 50);
-        BackgroundLoad long400 = new BackgroundLoad(cell, List.of(leaving), 6, "lookup", 400);
-        TestCell.await("load runs", () -> elsewhere.answered() > 100 && long400.answered() > 10);
+        BackgroundLoad otherLoad = new BackgroundLoad(cell, others, 10, "goal", 50);
+        BackgroundLoad leavingLoad = new BackgroundLoad(cell, List.of(leaving), 6, "lookup", 400);
+        TestCell.await("load runs",
+                () -> otherLoad.answeredCount() > 100 && leavingLoad.answeredCount() > 10);
         leaving.process.terminate();
-        TestCell.await("it says that it is not ready",
-                () -> leaving.operator("GET", "/readyz", new byte[0]).status() == 503);
-        Map<String, HttpReply> there = long400.stop();
-        leaving.process.awaitEnd();
-        int before = elsewhere.answered();
-        TestCell.await("the others go on", () -> elsewhere.answered() > before + 100);
-        assertAllAnswered(there);
-        assertAllAnswered(elsewhere.stop());
+        TestCell.await("leaving box is not ready",
+                () -> leaving.callOperator("GET", "/readyz", new byte[0]).status() == 503);
+        Map<String, HttpReply> leavingReplies = leavingLoad.stop();
+        leaving.process.awaitExit();
+        int before = otherLoad.answeredCount();
+        TestCell.await("other boxes continue", () -> otherLoad.answeredCount() > before + 100);
+        assertAllAnswered(leavingReplies);
+        assertAllAnswered(otherLoad.stop());
         assertThat(leaving.process.logText()).contains("0 requests in flight");
-        assertThat(cell.overloads()).isEqualTo(0);
+        assertThat(cell.countOverloads()).isEqualTo(0);
     }
 
     @Test
-    void aLeavingUpstreamGetsNoNewWorkAndFinishesWhatItHas() throws Exception
+    void leavingUpstreamGetsNoNewRequestsAndFinishesItsOwn() throws Exception
     {
         BackgroundLoad load = new BackgroundLoad(cell, cell.boxesOf("bole"), 20, "lookup", 200);
-        TestCell.await("load runs", () -> load.answered() > 100);
+        TestCell.await("load runs", () -> load.answeredCount() > 100);
         TestProcess worker = cell.workers.get("bole-w1");
         worker.terminate();
-        worker.awaitEnd();
-        int before = load.answered();
-        TestCell.await("load goes on", () -> load.answered() > before + 100);
+        worker.awaitExit();
+        int before = load.answeredCount();
+        TestCell.await("load continues", () -> load.answeredCount() > before + 100);
         assertAllAnswered(load.stop());
     }
 
@@ -78,31 +79,32 @@
     }
 
     @Test
-    void aPlannedStopWaitsForLongRequestsInFlight() throws Exception
+    void plannedStopWaitsForLongRequestsInFlight() throws Exception
     {
         TestBox leaving = cell.boxes.get("bole-1");
-        List<CompletableFuture<HttpReply>> asks = new ArrayList<>();
+        List<CompletableFuture<HttpReply>> calls = new ArrayList<>();
         for (int i = 0; i < 8; i++)
         {
             String key = i % 2 == 0 ? "long-" + i : null;
-            asks.add(CompletableFuture.supplyAsync(() -> askLong(leaving, key), Thread::startVirtualThread));
+            calls.add(CompletableFuture.supplyAsync(() -> sendLongRequest(leaving, key),
+                    Thread::startVirtualThread));
         }
-        TestCell.await("they run", () -> cell.starts().size() == 8);
+        TestCell.await("all requests run", () -> cell.starts().size() == 8);
         leaving.process.terminate();
-        for (CompletableFuture<HttpReply> ask : asks)
+        for (CompletableFuture<HttpReply> call : calls)
         {
-            assertWithMessage(TestCell.text(ask.join())).that(TestCell.outcome(ask.join()))
+            assertWithMessage(TestCell.text(call.join())).that(TestCell.outcome(call.join()))
                     .isEqualTo("answered");
         }
-        leaving.process.awaitEnd();
+        leaving.process.awaitExit();
         assertThat(cell.starts()).hasSize(8);
     }
 
-    private HttpReply askLong(TestBox box, String key)
+    private HttpReply sendLongRequest(TestBox box, String key)
     {
         try
         {
-            return cell.ask(box, key == null ? "lookup" : "goal", key, "{\"millis\":5000,\"echo\":\"long\"}",
+            return cell.send(box, key == null ? "lookup" : "goal", key, "{\"millis\":5000,\"echo\":\"long\"}",
                     12_000);
         }
         catch (InterruptedException e)
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/TestBox.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/TestBox.java
@@ -15,7 +15,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** An entry box of a test's cell: its process and its ports. */
+/** Entry box of a test cell: its process and its addresses. */
 final class TestBox
 {
     private static final int TIMEOUT_MILLIS = 5_000;
@@ -23,31 +23,31 @@
     final String name;
     final String hall;
     final String ip;
-    final String callers;
-    final String operators;
+    final String callerAddress;
+    final String operatorAddress;
     final TestProcess process;
     private final NetLoops loops;
 
-    TestBox(String name, String hall, String ip, String callers, String operators, TestProcess process,
-            NetLoops loops)
+    TestBox(String name, String hall, String ip, String callerAddress, String operatorAddress,
+            TestProcess process, NetLoops loops)
     {
         this.name = name;
         this.hall = hall;
         this.ip = ip;
-        this.callers = callers;
-        this.operators = operators;
+        this.callerAddress = callerAddress;
+        this.operatorAddress = operatorAddress;
         this.process = process;
         this.loops = loops;
     }
 
     String id()
     {
-        return process.readyWord();
+        return process.readyValue();
     }
 
-    HttpReply operator(String method, String path, byte[] body) throws InterruptedException
+    HttpReply callOperator(String method, String path, byte[] body) throws InterruptedException
     {
-        try (HttpCaller caller = new HttpCaller(loops, NetAddress.parse(operators)))
+        try (HttpCaller caller = new HttpCaller(loops, NetAddress.parse(operatorAddress)))
         {
             return caller.call(method, path, body, TIMEOUT_MILLIS);
         }
@@ -55,18 +55,18 @@
 
     JsonNode status() throws InterruptedException
     {
-        return json("/v1/status");
+        return getJson("/v1/status");
     }
 
-    JsonNode json(String path) throws InterruptedException
+    JsonNode getJson(String path) throws InterruptedException
     {
-        return Json.read(operator("GET", path, new byte[0]).body(), JsonNode.class, ResultCode.INTERNAL);
+        return Json.read(callOperator("GET", path, new byte[0]).body(), JsonNode.class, ResultCode.INTERNAL);
     }
 
-    /** The value of a metric without labels, or the sum over all its labels. */
+    /** Returns the value of a metric, summed over all its labels. */
     double metric(String metric) throws InterruptedException
     {
-        String text = new String(operator("GET", "/metrics", new byte[0]).body(), StandardCharsets.UTF_8);
+        String text = new String(callOperator("GET", "/metrics", new byte[0]).body(), StandardCharsets.UTF_8);
         return text.lines().filter(line -> line.startsWith(metric + ' ') || line.startsWith(metric + '{'))
                 .mapToDouble(line -> Double.parseDouble(line.substring(line.lastIndexOf(' ') + 1))).sum();
     }
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/TestCell.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/TestCell.java
@@ -39,36 +39,34 @@
 import io.netty.handler.codec.http.HttpHeaders;
 
 /**
- * A cell of separate processes for one test: the platform's stand-in, workers and entry boxes. Each
- * box has a loopback address of its own, and hops in front of platform, peers and workers make
- * cuts.
+ * Cell of separate processes for one test: platform stand-in, worker stand-ins and entry boxes.
+ * Each box has its own loopback address; proxies in front of the platform, peers and workers
+ * simulate network partitions.
  */
 final class TestCell implements AutoCloseable
 {
-    private static final long PATIENCE_MILLIS = 60_000;
-    private static final long STEP_MILLIS = 20;
-    private static final int CONTROL_MILLIS = 5_000;
+    private static final long AWAIT_TIMEOUT_MILLIS = 60_000;
+    private static final long POLL_INTERVAL_MILLIS = 20;
+    private static final int CONTROL_TIMEOUT_MILLIS = 5_000;
 
-    /** A condition that a test waits for. */
+    /** Condition that a test waits for. */
     interface Condition
     {
-        boolean holds() throws InterruptedException;
+        boolean isMet() throws InterruptedException;
     }
 
-    /**
-     * Cells side by side have addresses of their own, so that none takes a port that another one is
-     * about to use.
-     */
-    private static final AtomicInteger CELLS = new AtomicInteger((int) ProcessHandle.current().pid());
-    private static final int MOST_CELLS = 250;
+    /** Gives concurrent cells distinct addresses, so that their ports do not collide. */
+    private static final AtomicInteger NEXT_CELL_NUMBER = new AtomicInteger(
+            (int) ProcessHandle.current().pid());
+    private static final int MAX_CELLS = 250;
 
-    /** Each process has an address of its own; these ports are never given to outgoing connections. */
+    /** Fixed ports, outside the ephemeral range; each process has its own address. */
     private static final int CALLER_PORT = 7701;
     private static final int OPERATOR_PORT = 7702;
     private static final int PEER_PORT = 7703;
     private static final int WORKER_PORT = 7704;
 
-    private final int number = CELLS.getAndIncrement() % MOST_CELLS;
+    private final int cellNumber = NEXT_CELL_NUMBER.getAndIncrement() % MAX_CELLS;
     final NetLoops loops = new NetLoops(Optional.empty());
     private final List<BackgroundLoad> loads = new ArrayList<>();
     final Map<String, TestBox> boxes = new LinkedHashMap<>();
@@ -77,10 +75,10 @@
     private final CellOptions options;
     private final Path directory;
     private final Map<String, String> workerAddresses = new HashMap<>();
-    private final TestHops hops = new TestHops();
+    private final TestProxies proxies = new TestProxies();
     private final Map<String, String> ipOfBox = new HashMap<>();
-    private final Map<String, Long> keysIssued = new ConcurrentHashMap<>();
-    private int started;
+    private final Map<String, Long> keyIssueMillis = new ConcurrentHashMap<>();
+    private int startedBoxes;
 
     TestCell(CellOptions options)
     {
@@ -95,11 +93,11 @@
         }
         platform = new TestProcess("platform", directory,
                 List.of("platform-standin", "--roster-lag-millis", "300"));
-        hops.add("platform", platform.readyWord());
+        proxies.add("platform", platform.readyValue());
     }
 
-    /** Starts everything and waits until every box knows the whole hall and the test's resources. */
-    static TestCell started(CellOptions options) throws InterruptedException
+    /** Starts a cell and waits until every box knows its whole hall and the test resources. */
+    static TestCell start(CellOptions options) throws InterruptedException
     {
         TestCell cell = new TestCell(options);
         try
@@ -109,7 +107,7 @@
         }
         catch (RuntimeException | AssertionError | InterruptedException e)
         {
-            // no test gets this cell, so nobody else would end its processes
+            // the caller never gets this cell, so its processes must be stopped here
             cell.close();
             throw e;
         }
@@ -131,41 +129,41 @@
                 startBox(hall + '-' + i, hall);
             }
         }
-        awaitWhole();
+        awaitConverged();
         applyResources();
     }
 
     TestBox startBox(String name, String hall)
     {
-        started++;
-        String ip = "127.1." + number + '.' + started;
+        startedBoxes++;
+        String ip = "127.1." + cellNumber + '.' + startedBoxes;
         ipOfBox.put(name, ip);
-        String callers = ip + ':' + CALLER_PORT;
-        String operators = ip + ':' + OPERATOR_PORT;
-        String peers = ip + ':' + PEER_PORT;
-        String advertised = hops.add("peer-" + name, peers);
-        Path settings = directory.resolve(name + '-' + started + ".json");
-        write(settings, settingsOf(name, hall, ip, callers, operators, peers, advertised));
-        TestProcess process = new TestProcess(name + '-' + started, directory,
+        String callerAddress = ip + ':' + CALLER_PORT;
+        String operatorAddress = ip + ':' + OPERATOR_PORT;
+        String peerAddress = ip + ':' + PEER_PORT;
+        String advertised = proxies.add("peer-" + name, peerAddress);
+        Path settings = directory.resolve(name + '-' + startedBoxes + ".json");
+        write(settings, settingsOf(name, hall, ip, callerAddress, operatorAddress, peerAddress, advertised));
+        TestProcess process = new TestProcess(name + '-' + startedBoxes, directory,
                 List.of("entry", "--settings", settings.toString()));
-        TestBox box = new TestBox(name, hall, ip, callers, operators, process, loops);
+        TestBox box = new TestBox(name, hall, ip, callerAddress, operatorAddress, process, loops);
         boxes.put(name, box);
         return box;
     }
 
-    private Map<String, Object> settingsOf(String name, String hall, String ip, String callers,
-            String operators, String peers, String advertised)
+    private Map<String, Object> settingsOf(String name, String hall, String ip, String callerAddress,
+            String operatorAddress, String peerAddress, String advertised)
     {
         List<String> seeds = new ArrayList<>();
         boxes.values().stream().filter(b -> b.hall.equals(hall))
-                .forEach(b -> seeds.add(hops.address("peer-" + b.name)));
-        String store = hops.address("platform");
+                .forEach(b -> seeds.add(proxies.address("peer-" + b.name)));
+        String store = proxies.address("platform");
         Map<String, Object> settings = new LinkedHashMap<>();
         settings.put("box", name);
         settings.put("hall", hall);
-        settings.put("callerAddress", callers);
-        settings.put("operatorAddress", operators);
-        settings.put("peerAddress", peers);
+        settings.put("callerAddress", callerAddress);
+        settings.put("operatorAddress", operatorAddress);
+        settings.put("peerAddress", peerAddress);
         settings.put("advertisedPeerAddress", advertised);
         settings.put("sourceAddress", ip);
         settings.put("seeds", seeds);
@@ -180,11 +178,11 @@
 
     void startWorker(String id, String hall)
     {
-        String ip = "127.2." + number + '.' + (workers.size() + 1);
+        String ip = "127.2." + cellNumber + '.' + (workers.size() + 1);
         String listen = ip + ':' + WORKER_PORT;
-        String advertised = hops.add("worker-" + id, listen);
+        String advertised = proxies.add("worker-" + id, listen);
         List<String> args = new ArrayList<>(List.of("worker-standin", "--listen", listen, "--advertise",
-                advertised, "--platform", platform.readyWord(), "--id", id, "--hall", hall, "--slots",
+                advertised, "--platform", platform.readyValue(), "--id", id, "--hall", hall, "--slots",
                 Integer.toString(options.slots())));
         if (!options.fencing())
         {
@@ -195,18 +193,18 @@
     }
 
     /**
-     * Waits until each hall's map names just the live boxes and all workers, evenly, and every box is
-     * ready.
+     * Waits until each hall has assigned its workers and key slots evenly to exactly the running boxes
+     * and every box has valid rights.
      */
-    void awaitWhole() throws InterruptedException
+    void awaitConverged() throws InterruptedException
     {
         for (TestBox box : List.copyOf(boxes.values()))
         {
-            await("hall of " + box.name + " is whole", () -> isWhole(box));
+            await("assignments converged at " + box.name, () -> hasConverged(box));
         }
     }
 
-    private boolean isWhole(TestBox box) throws InterruptedException
+    private boolean hasConverged(TestBox box) throws InterruptedException
     {
         Set<String> expected = new HashSet<>();
         boxes.values().stream().filter(b -> b.hall.equals(box.hall)).forEach(b -> expected.add(b.id()));
@@ -218,13 +216,13 @@
         {
             allReachable &= reachable.asBoolean();
         }
-        long alive = workers.entrySet().stream().filter(e -> e.getKey().startsWith(box.hall)).count();
-        int fairWorkers = (int) (alive / expected.size());
-        boolean ownsItsShare = status.path("workers").size() >= fairWorkers
+        long hallWorkers = workers.entrySet().stream().filter(e -> e.getKey().startsWith(box.hall)).count();
+        int minWorkers = (int) (hallWorkers / expected.size());
+        boolean hasFairShare = status.path("workers").size() >= minWorkers
                 && status.path("keySlots").asInt() >= 64 / expected.size();
-        boolean claimed = status.path("free").path("slots").asInt() == status.path("workers").size()
+        boolean capacityClaimed = status.path("free").path("slots").asInt() == status.path("workers").size()
                 * options.slots();
-        return inMap.equals(expected) && allReachable && ownsItsShare && claimed
+        return inMap.equals(expected) && allReachable && hasFairShare && capacityClaimed
                 && "valid".equals(status.path("rights").asText());
     }
 
@@ -233,68 +231,68 @@
         TestBox first = boxes.values().iterator().next();
         for (String hall : options.halls())
         {
-            put(first, "teams/team-" + hall, "{\"homeHall\":\"" + hall + "\"}");
+            createResource(first, "teams/team-" + hall, "{\"homeHall\":\"" + hall + "\"}");
         }
-        put(first, "workloads/goal",
+        createResource(first, "workloads/goal",
                 "{\"taskClass\":\"urgent\",\"repeatable\":false,\"timeoutMillis\":4000}");
-        put(first, "workloads/lookup", "{\"taskClass\":\"booking\",\"repeatable\":true}");
-        put(first, "workloads/rebuild",
+        createResource(first, "workloads/lookup", "{\"taskClass\":\"booking\",\"repeatable\":true}");
+        createResource(first, "workloads/rebuild",
                 "{\"taskClass\":\"batch\",\"repeatable\":true,\"timeoutMillis\":20000}");
         for (TestBox box : boxes.values())
         {
-            await("resources at " + box.name,
-                    () -> box.operator("GET", "/v1/workloads/rebuild", new byte[0]).status() == 200
-                            && box.operator("GET", "/v1/teams/team-" + options.halls().getLast(), new byte[0])
-                                    .status() == 200);
+            await("resources available at " + box.name,
+                    () -> box.callOperator("GET", "/v1/workloads/rebuild", new byte[0]).status() == 200 && box
+                            .callOperator("GET", "/v1/teams/team-" + options.halls().getLast(), new byte[0])
+                            .status() == 200);
         }
     }
 
-    void put(TestBox box, String resource, String spec) throws InterruptedException
+    void createResource(TestBox box, String resource, String spec) throws InterruptedException
     {
-        HttpReply reply = box.operator("PUT", "/v1/" + resource, spec.getBytes(StandardCharsets.UTF_8));
+        HttpReply reply = box.callOperator("PUT", "/v1/" + resource, spec.getBytes(StandardCharsets.UTF_8));
         if (reply.status() != 201)
         {
             throw new IllegalStateException(new String(reply.body(), StandardCharsets.UTF_8));
         }
     }
 
-    /** Sends a request and returns the answer, whatever it is; a lost connection gives status 0. */
-    HttpReply ask(TestBox box, String workload, String key, String body, int timeoutMillis)
+    /** Sends a request and returns the reply, with status 0 if the connection was lost. */
+    HttpReply send(TestBox box, String workload, String key, String body, int timeoutMillis)
             throws InterruptedException
     {
-        return ask(box, workload, "team-" + box.hall, key, body, timeoutMillis);
+        return send(box, workload, "team-" + box.hall, key, body, timeoutMillis);
     }
 
-    /** The same, by a caller who says that it never sent the key before. */
-    HttpReply askFirst(TestBox box, String workload, String team, String key, String body, int timeoutMillis)
-            throws InterruptedException
+    /** Sends a request that is marked as the first attempt with its key. */
+    HttpReply sendFirstAttempt(TestBox box, String workload, String team, String key, String body,
+            int timeoutMillis) throws InterruptedException
     {
-        return ask(box, workload, team, key, body, timeoutMillis, true);
+        return send(box, workload, team, key, body, timeoutMillis, true);
     }
 
-    HttpReply ask(TestBox box, String workload, String team, String key, String body, int timeoutMillis)
+    HttpReply send(TestBox box, String workload, String team, String key, String body, int timeoutMillis)
             throws InterruptedException
     {
-        return ask(box, workload, team, key, body, timeoutMillis, false);
+        return send(box, workload, team, key, body, timeoutMillis, false);
     }
 
-    private HttpReply ask(TestBox box, String workload, String team, String key, String body,
-            int timeoutMillis, boolean first) throws InterruptedException
+    private HttpReply send(TestBox box, String workload, String team, String key, String body,
+            int timeoutMillis, boolean firstAttempt) throws InterruptedException
     {
         HttpHeaders headers = new DefaultHttpHeaders().set(UpstreamHeaders.TEAM, team)
                 .set(UpstreamHeaders.TIMEOUT, timeoutMillis).set("Content-Type", "application/json");
         if (key != null)
         {
             headers.set(UpstreamHeaders.KEY, key);
-            headers.set(UpstreamHeaders.KEY_ISSUED, issuedAt(key));
+            headers.set(UpstreamHeaders.KEY_ISSUED, issueMillisOf(key));
         }
-        if (first)
+        if (firstAttempt)
         {
             headers.set(UpstreamHeaders.ATTEMPT, 1);
         }
         HttpMessage message = new HttpMessage("POST", "/v1/workloads/" + workload + "/requests", "", headers,
                 body.getBytes(StandardCharsets.UTF_8));
-        try (HttpCaller caller = new HttpCaller(loops, NetAddress.parse(box.callers)))
+        try (HttpCaller caller = new HttpCaller(loops, NetAddress.parse(box.callerAddress)))
         {
             return caller.call(message, timeoutMillis + 3_000);
         }
@@ -304,9 +302,9 @@
         }
     }
 
-    private long issuedAt(String key)
+    private long issueMillisOf(String key)
     {
-        return keysIssued.computeIfAbsent(key, k -> System.currentTimeMillis());
+        return keyIssueMillis.computeIfAbsent(key, k -> System.currentTimeMillis());
     }
 
     static String outcome(HttpReply reply)
@@ -328,12 +326,12 @@
     {
         try (HttpCaller caller = new HttpCaller(loops, NetAddress.parse(workerAddresses.get(worker))))
         {
-            HttpReply reply = caller.call("GET", "/standin/records", new byte[0], CONTROL_MILLIS);
+            HttpReply reply = caller.call("GET", "/standin/records", new byte[0], CONTROL_TIMEOUT_MILLIS);
             return Json.read(reply.body(), WorkerRecords.class, ResultCode.INTERNAL);
         }
     }
 
-    /** All runs on all live workers. */
+    /** Returns the start records of all live workers. */
     List<StartRecord> starts() throws InterruptedException
     {
         List<StartRecord> starts = new ArrayList<>();
@@ -347,12 +345,12 @@
         return starts;
     }
 
-    long startsOfKey(String key) throws InterruptedException
+    long countStartsOfKey(String key) throws InterruptedException
     {
         return starts().stream().filter(s -> key.equals(s.key())).count();
     }
 
-    int overloads() throws InterruptedException
+    int countOverloads() throws InterruptedException
     {
         int sum = 0;
         for (Map.Entry<String, TestProcess> worker : workers.entrySet())
@@ -362,19 +360,19 @@
         return sum;
     }
 
-    void platform(PlatformSwitches switches) throws InterruptedException
+    void setPlatformSwitches(PlatformSwitches switches) throws InterruptedException
     {
-        try (HttpCaller caller = new HttpCaller(loops, NetAddress.parse(platform.readyWord())))
+        try (HttpCaller caller = new HttpCaller(loops, NetAddress.parse(platform.readyValue())))
         {
-            caller.call("PUT", "/standin/switches", Json.write(switches), CONTROL_MILLIS);
+            caller.call("PUT", "/standin/switches", Json.write(switches), CONTROL_TIMEOUT_MILLIS);
         }
     }
 
-    Map<String, Integer> platformCalls() throws InterruptedException
+    Map<String, Integer> platformCallCounts() throws InterruptedException
     {
-        try (HttpCaller caller = new HttpCaller(loops, NetAddress.parse(platform.readyWord())))
+        try (HttpCaller caller = new HttpCaller(loops, NetAddress.parse(platform.readyValue())))
         {
-            HttpReply reply = caller.call("GET", "/standin/calls", new byte[0], CONTROL_MILLIS);
+            HttpReply reply = caller.call("GET", "/standin/calls", new byte[0], CONTROL_TIMEOUT_MILLIS);
             Map<String, Integer> calls = new HashMap<>();
             Json.read(reply.body(), JsonNode.class, ResultCode.INTERNAL).properties()
                     .forEach(e -> calls.put(e.getKey(), e.getValue().asInt()));
@@ -382,29 +380,29 @@
         }
     }
 
-    /** Cuts the boxes off from the platform. */
-    void cutFromPlatform(List<TestBox> from)
+    /** Blocks connections from the boxes to the platform. */
+    void disconnectFromPlatform(List<TestBox> isolated)
     {
-        from.forEach(box -> hops.cut("platform", box.ip));
+        isolated.forEach(box -> proxies.blockSource("platform", box.ip));
     }
 
-    /** Cuts the boxes of one side off from those of the other, both ways. */
-    void cutBetween(List<TestBox> one, List<TestBox> other)
+    /** Blocks connections between the boxes of the two sides in both directions. */
+    void disconnect(List<TestBox> left, List<TestBox> right)
     {
-        for (TestBox a : one)
+        for (TestBox a : left)
         {
-            for (TestBox b : other)
+            for (TestBox b : right)
             {
-                hops.cut("peer-" + b.name, a.ip);
-                hops.cut("peer-" + a.name, b.ip);
+                proxies.blockSource("peer-" + b.name, a.ip);
+                proxies.blockSource("peer-" + a.name, b.ip);
             }
         }
     }
 
-    /** Ends all cuts. */
-    void heal()
+    /** Unblocks all connections. */
+    void reconnectAll()
     {
-        hops.heal();
+        proxies.unblockAll();
     }
 
     List<TestBox> boxesOf(String hall)
@@ -412,25 +410,25 @@
         return boxes.values().stream().filter(b -> b.hall.equals(hall)).toList();
     }
 
-    static void await(String what, Condition condition) throws InterruptedException
+    static void await(String description, Condition condition) throws InterruptedException
     {
-        long until = System.currentTimeMillis() + PATIENCE_MILLIS;
-        while (System.currentTimeMillis() < until)
+        long deadlineMillis = System.currentTimeMillis() + AWAIT_TIMEOUT_MILLIS;
+        while (System.currentTimeMillis() < deadlineMillis)
         {
             try
             {
-                if (condition.holds())
+                if (condition.isMet())
                 {
                     return;
                 }
             }
             catch (GaugehollowException e)
             {
-                // not reachable yet
+                // the process is not reachable yet
             }
-            Thread.sleep(STEP_MILLIS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
-        throw new AssertionError("did not come about: " + what);
+        throw new AssertionError("condition not met in time: " + description);
     }
 
     private static void write(Path file, Object value)
@@ -445,7 +443,7 @@
         }
     }
 
-    /** The logs of all boxes, for a failed test to show. */
+    /** Returns the logs of all boxes. */
     String logs()
     {
         StringBuilder text = new StringBuilder();
@@ -454,7 +452,7 @@
         return text.toString();
     }
 
-    /** Load that ends with the cell, also where a test fails before it stops it. */
+    /** Registers a load to be cancelled when the cell closes, even if the test fails before. */
     void register(BackgroundLoad load)
     {
         loads.add(load);
@@ -463,20 +461,17 @@
     @Override
     public void close()
     {
-        loads.forEach(BackgroundLoad::abandon);
+        loads.forEach(BackgroundLoad::cancel);
         boxes.values().forEach(box -> box.process.close());
         workers.values().forEach(TestProcess::close);
         platform.close();
-        hops.close();
+        proxies.close();
         loops.close();
     }
 
-    /**
-     * Ends the hops in front of a hall's boxes, so that their addresses refuse connections as dead
-     * boxes' do.
-     */
-    void closePeerHops(String hall)
+    /** Closes the peer proxies of a hall, so that connections to its boxes are refused. */
+    void closePeerProxies(String hall)
     {
-        boxesOf(hall).forEach(box -> hops.end("peer-" + box.name));
+        boxesOf(hall).forEach(box -> proxies.closeProxy("peer-" + box.name));
     }
 }
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/TestProcess.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/TestProcess.java
@@ -15,14 +15,14 @@
 import java.util.List;
 import java.util.concurrent.TimeUnit;
 
-/** One process of the command line, started by a test and ended by its id. */
+/** Process of the command line that a test starts. */
 final class TestProcess implements AutoCloseable
 {
-    private static final long END_SECONDS = 20;
+    private static final long EXIT_TIMEOUT_SECONDS = 20;
 
     private final Process process;
     private final Path log;
-    private final String ready;
+    private final String readyLine;
 
     TestProcess(String name, Path directory, List<String> args)
     {
@@ -38,22 +38,22 @@
             process = new ProcessBuilder(command).redirectError(log.toFile()).start();
             BufferedReader out = new BufferedReader(
                     new InputStreamReader(process.getInputStream(), StandardCharsets.UTF_8));
-            ready = out.readLine();
+            readyLine = out.readLine();
         }
         catch (IOException e)
         {
             throw new UncheckedIOException(e);
         }
-        if (ready == null)
+        if (readyLine == null)
         {
             throw new IllegalStateException(name + " did not start: " + logText());
         }
     }
 
-    /** The part of the line that a process prints when it is ready. */
-    String readyWord()
+    /** Returns the value that the process printed after "ready": its address or box id. */
+    String readyValue()
     {
-        return ready.substring("ready ".length());
+        return readyLine.substring("ready ".length());
     }
 
     String logText()
@@ -73,26 +73,26 @@
         return process.isAlive();
     }
 
-    /** SIGKILL. */
+    /** Sends SIGKILL and waits for the process to exit. */
     void kill()
     {
         process.destroyForcibly();
-        awaitEnd();
+        awaitExit();
     }
 
-    /** SIGTERM, without waiting. */
+    /** Sends SIGTERM without waiting for the process to exit. */
     void terminate()
     {
         process.destroy();
     }
 
-    /** SIGSTOP: the process does not run until it is thawed. */
+    /** Sends SIGSTOP, which suspends the process. */
     void freeze()
     {
         signal("-STOP");
     }
 
-    /** SIGCONT. */
+    /** Sends SIGCONT, which resumes a suspended process. */
     void thaw()
     {
         signal("-CONT");
@@ -114,13 +114,13 @@
         }
     }
 
-    void awaitEnd()
+    void awaitExit()
     {
         try
         {
-            if (!process.waitFor(END_SECONDS, TimeUnit.SECONDS))
+            if (!process.waitFor(EXIT_TIMEOUT_SECONDS, TimeUnit.SECONDS))
             {
-                throw new IllegalStateException("the process did not end: " + logText());
+                throw new IllegalStateException("the process did not exit: " + logText());
             }
         }
         catch (InterruptedException e)
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/TestProxies.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/TestProxies.java
@@ -15,24 +15,25 @@
 import org.gaugehollow.net.NetAddress;
 import org.gaugehollow.standin.FaultProxy;
 
-/** The hops of a test's cell, by name, and which source addresses each of them refuses. */
-final class TestHops implements AutoCloseable
+/** Fault-injecting proxies of a test cell by name, with the source addresses that each blocks. */
+final class TestProxies implements AutoCloseable
 {
-    private final Map<String, FaultProxy> hops = new HashMap<>();
-    private final Map<String, Set<String>> cuts = new HashMap<>();
+    private final Map<String, FaultProxy> proxies = new HashMap<>();
+    private final Map<String, Set<String>> blockedSources = new HashMap<>();
 
-    /** Puts a hop in front of an address and returns the address to use instead. */
+    /** Starts a proxy in front of an address and returns the address of the proxy. */
     String add(String name, String target)
     {
         try
         {
-            FaultProxy hop = new FaultProxy(new InetSocketAddress("127.0.0.1", 0), NetAddress.parse(target));
-            FaultProxy old = hops.put(name, hop);
-            if (old != null)
+            FaultProxy proxy = new FaultProxy(new InetSocketAddress("127.0.0.1", 0),
+                    NetAddress.parse(target));
+            FaultProxy previous = proxies.put(name, proxy);
+            if (previous != null)
             {
-                old.close();
+                previous.close();
             }
-            return NetAddress.format(hop.address());
+            return NetAddress.format(proxy.address());
         }
         catch (IOException e)
         {
@@ -42,44 +43,44 @@
 
     String address(String name)
     {
-        return NetAddress.format(hops.get(name).address());
+        return NetAddress.format(proxies.get(name).address());
     }
 
-    void cut(String name, String sourceIp)
+    void blockSource(String name, String sourceIp)
     {
-        Set<String> sources = cuts.computeIfAbsent(name, h -> new HashSet<>());
+        Set<String> sources = blockedSources.computeIfAbsent(name, h -> new HashSet<>());
         sources.add(sourceIp);
-        Set<String> now = Set.copyOf(sources);
-        hops.get(name).cutOff(address -> now.contains(address.getHostAddress()));
+        Set<String> blocked = Set.copyOf(sources);
+        proxies.get(name).blockSources(address -> blocked.contains(address.getHostAddress()));
     }
 
-    void heal()
+    void unblockAll()
     {
-        cuts.clear();
-        hops.values().forEach(hop -> hop.cutOff(source -> false));
+        blockedSources.clear();
+        proxies.values().forEach(proxy -> proxy.blockSources(source -> false));
     }
 
-    /** Ends one hop, so that its address refuses connections. */
-    void end(String name)
+    /** Closes one proxy, so that its address refuses connections. */
+    void closeProxy(String name)
     {
-        closeQuietly(hops.get(name));
+        closeQuietly(proxies.get(name));
     }
 
-    private static void closeQuietly(FaultProxy hop)
+    private static void closeQuietly(FaultProxy proxy)
     {
         try
         {
-            hop.close();
+            proxy.close();
         }
         catch (IOException e)
         {
-            // it is closed either way
+            // the socket is closed in any case
         }
     }
 
     @Override
     public void close()
     {
-        hops.values().forEach(TestHops::closeQuietly);
+        proxies.values().forEach(TestProxies::closeQuietly);
     }
 }
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/WorkerStandinStartTest.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/WorkerStandinStartTest.java
@@ -12,22 +12,17 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** How a worker's stand-in starts beside a platform that is slow to answer. */
+/** Guards against worker stand-ins that fail to start when the platform is slow to answer. */
 class WorkerStandinStartTest
 {
-    /** Longer than the worker waits for one answer. */
+    /** Longer than the timeout of one registration call. */
     private static final long FROZEN_MILLIS = 3_500;
 
     @TempDir
     private Path directory;
 
-    /**
-     * Tests start many processes at once, and the worker's first call is often the first one that the
-     * platform's stand-in ever serves. Where that took more than two seconds, the worker gave up and
-     * the test failed at its start, while a real worker tells the platform of itself again and again.
-     */
     @Test
-    void aWorkerWhoseFirstCallsGetNoAnswerTellsOfItselfAgain() throws InterruptedException
+    void workerRetriesItsRegistrationUntilThePlatformAnswers() throws InterruptedException
     {
         try (TestProcess platform = new TestProcess("platform", directory,
                 List.of("platform-standin", "--roster-lag-millis", "300")))
@@ -35,10 +30,10 @@
             platform.freeze();
             Thread thaw = Thread.ofVirtual().start(() -> thawLater(platform));
             try (TestProcess worker = new TestProcess("w1", directory, List.of("worker-standin", "--platform",
-                    platform.readyWord(), "--id", "w1", "--hall", "bole")))
+                    platform.readyValue(), "--id", "w1", "--hall", "bole")))
             {
                 assertThat(worker.isAlive()).isTrue();
-                assertThat(worker.readyWord()).isNotEmpty();
+                assertThat(worker.readyValue()).isNotEmpty();
             }
             finally
             {
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/FaultMode.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/FaultMode.java
@@ -4,25 +4,25 @@
  */
 package org.gaugehollow.standin;
 
-/** What a hop does to what passes it. */
+/** How a {@link FaultProxy} treats the traffic that passes through it. */
 public enum FaultMode
 {
-    /** Everything passes. */
+    /** Forwards all data. */
     PASS,
-    /** Nothing passes to the listener; what is held back arrives afterwards. */
+    /** Holds back data to the target until the mode changes. */
     SILENT_THERE,
-    /** Nothing passes back from the listener; what is held back arrives afterwards. */
+    /** Holds back data from the target until the mode changes. */
     SILENT_BACK,
-    /** Nothing passes; what is held back arrives afterwards. */
+    /** Holds back data in both directions until the mode changes. */
     SILENT,
-    /** Everything passes late. */
+    /** Delays all data. */
     LATE,
-    /** Connections are reset, and new ones too. */
+    /** Closes existing and new connections. */
     RESET;
 
-    /** Whether nothing passes in a direction. */
-    boolean holds(boolean back)
+    /** Returns whether data is held back in the given direction. */
+    boolean blocks(boolean fromTarget)
     {
-        return this == SILENT || this == (back ? SILENT_BACK : SILENT_THERE);
+        return this == SILENT || this == (fromTarget ? SILENT_BACK : SILENT_THERE);
     }
 }
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/FaultProxy.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/FaultProxy.java
@@ -16,27 +16,27 @@
 import java.util.function.Predicate;
 
 /**
- * A hop in front of one listener, for tests of cuts: it passes bytes on as its mode says, and
- * refuses or ends connections from the source addresses that are cut off.
+ * Fault-injecting TCP proxy for tests: forwards data according to its mode and closes connections
+ * from blocked source addresses.
  */
 public final class FaultProxy implements AutoCloseable
 {
-    private static final int BUFFER = 16 << 10;
-    private static final int STEP_MILLIS = 5;
-    private static final int LATE_MILLIS = 120;
+    private static final int BUFFER_BYTES = 16 << 10;
+    private static final int POLL_INTERVAL_MILLIS = 5;
+    private static final int DELAY_MILLIS = 120;
 
     private final ServerSocket listener;
     private final InetSocketAddress target;
-    private final Map<Socket, Socket> pairs = new ConcurrentHashMap<>();
-    private volatile Predicate<InetAddress> cut = source -> false;
+    private final Map<Socket, Socket> connections = new ConcurrentHashMap<>();
+    private volatile Predicate<InetAddress> blockedSources = source -> false;
     private volatile FaultMode mode = FaultMode.PASS;
 
     /**
-     * Starts to listen.
+     * Starts the proxy.
      *
-     * @param listen where to listen; port 0 takes a free one
-     * @param target where bytes are passed on to
-     * @throws IOException if the address is taken
+     * @param listen listen address; port 0 selects a free port
+     * @param target address to forward connections to
+     * @throws IOException if the address is already in use
      */
     public FaultProxy(InetSocketAddress listen, InetSocketAddress target) throws IOException
     {
@@ -47,36 +47,40 @@
         Thread.ofVirtual().name("hop-accept").start(this::acceptUntilClosed);
     }
 
-    /** @return the address it listens on */
+    /** @return listen address */
     public InetSocketAddress address()
     {
         return (InetSocketAddress) listener.getLocalSocketAddress();
     }
 
     /**
-     * @param sources the source addresses that are cut off from now on
+     * Blocks new connections and closes existing ones from the given source addresses.
+     *
+     * @param sources matches the addresses to block
      */
-    public void cutOff(Predicate<InetAddress> sources)
+    public void blockSources(Predicate<InetAddress> sources)
     {
-        cut = sources;
-        pairs.forEach((from, to) ->
+        blockedSources = sources;
+        connections.forEach((client, server) ->
         {
-            if (sources.test(from.getInetAddress()))
+            if (sources.test(client.getInetAddress()))
             {
-                closeBoth(from, to);
+                closeBoth(client, server);
             }
         });
     }
 
     /**
-     * @param next what the hop does from now on
+     * Changes how traffic is treated.
+     *
+     * @param next new mode
      */
     public void mode(FaultMode next)
     {
         mode = next;
         if (next == FaultMode.RESET)
         {
-            pairs.forEach(this::closeBoth);
+            connections.forEach(this::closeBoth);
         }
     }
 
@@ -86,49 +90,49 @@
         {
             try
             {
-                Socket from = listener.accept();
-                if (cut.test(from.getInetAddress()) || mode == FaultMode.RESET)
+                Socket client = listener.accept();
+                if (blockedSources.test(client.getInetAddress()) || mode == FaultMode.RESET)
                 {
-                    from.close();
+                    client.close();
                 }
                 else
                 {
-                    Thread.ofVirtual().name("hop").start(() -> join(from));
+                    Thread.ofVirtual().name("hop").start(() -> connect(client));
                 }
             }
             catch (IOException e)
             {
-                // the listener was closed, or one connection failed before it was joined
+                // the listener was closed, or a client disconnected before it was accepted
             }
         }
     }
 
-    private void join(Socket from)
+    private void connect(Socket client)
     {
-        Socket to = new Socket();
+        Socket server = new Socket();
         try
         {
-            to.connect(target);
-            from.setTcpNoDelay(true);
-            to.setTcpNoDelay(true);
-            pairs.put(from, to);
-            if (cut.test(from.getInetAddress()))
+            server.connect(target);
+            client.setTcpNoDelay(true);
+            server.setTcpNoDelay(true);
+            connections.put(client, server);
+            if (blockedSources.test(client.getInetAddress()))
             {
-                closeBoth(from, to);
+                closeBoth(client, server);
                 return;
             }
-            Thread.ofVirtual().name("hop-back").start(() -> pump(to, from, from, to, true));
-            pump(from, to, from, to, false);
+            Thread.ofVirtual().name("hop-back").start(() -> copy(server, client, client, server, true));
+            copy(client, server, client, server, false);
         }
         catch (IOException e)
         {
-            closeBoth(from, to);
+            closeBoth(client, server);
         }
     }
 
-    private void pump(Socket in, Socket out, Socket from, Socket to, boolean back)
+    private void copy(Socket in, Socket out, Socket client, Socket server, boolean fromTarget)
     {
-        byte[] buffer = new byte[BUFFER];
+        byte[] buffer = new byte[BUFFER_BYTES];
         try
         {
             InputStream input = in.getInputStream();
@@ -136,39 +140,39 @@
             int read = input.read(buffer);
             while (read >= 0)
             {
-                hold(back);
+                applyMode(fromTarget);
                 output.write(buffer, 0, read);
                 read = input.read(buffer);
             }
         }
         catch (IOException e)
         {
-            // one side ended; both are closed below
+            // one side closed the connection; both are closed below
         }
         catch (InterruptedException e)
         {
             Thread.currentThread().interrupt();
         }
-        closeBoth(from, to);
+        closeBoth(client, server);
     }
 
-    private void hold(boolean back) throws InterruptedException
+    private void applyMode(boolean fromTarget) throws InterruptedException
     {
         if (mode == FaultMode.LATE)
         {
-            Thread.sleep(LATE_MILLIS);
+            Thread.sleep(DELAY_MILLIS);
         }
-        while (mode.holds(back) && !listener.isClosed())
+        while (mode.blocks(fromTarget) && !listener.isClosed())
         {
-            Thread.sleep(STEP_MILLIS);
+            Thread.sleep(POLL_INTERVAL_MILLIS);
         }
     }
 
-    private void closeBoth(Socket from, Socket to)
+    private void closeBoth(Socket client, Socket server)
     {
-        pairs.remove(from);
-        closeQuietly(from);
-        closeQuietly(to);
+        connections.remove(client);
+        closeQuietly(client);
+        closeQuietly(server);
     }
 
     private static void closeQuietly(Socket socket)
@@ -179,7 +183,7 @@
         }
         catch (IOException e)
         {
-            // it is closed either way
+            // the socket is closed in any case
         }
     }
 
@@ -187,6 +191,6 @@
     public void close() throws IOException
     {
         listener.close();
-        pairs.forEach(this::closeBoth);
+        connections.forEach(this::closeBoth);
     }
 }
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/PlatformStandin.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/PlatformStandin.java
@@ -36,70 +36,72 @@
 import com.fasterxml.jackson.databind.node.ObjectNode;
 
 /**
- * Takes the platform's place in tests and in the local cell: the part of the etcd v3 JSON protocol
- * that gaugehollow uses, and the list of workers in the form of Prometheus' HTTP service discovery.
- * It has a budget of calls, and switches for slow, down, and applied-but-the-answer-was-lost.
+ * Simulates the platform in tests and in the local cell: the part of the etcd v3 JSON protocol that
+ * gaugehollow uses, and the worker roster in the Prometheus HTTP service discovery format. It
+ * limits the call rate, and switches simulate slow answers, outages and lost answers.
  */
 public final class PlatformStandin implements AutoCloseable
 {
-    /** The platform's budget: some hundred writes and about two thousand reads a second. */
     private static final int WRITES_PER_SECOND = 500;
     private static final int READS_PER_SECOND = 2_000;
-    private static final int LARGEST_VALUE = 1 << 20;
-    private static final int LARGEST_BODY = 2 << 20;
+    private static final int MAX_VALUE_BYTES = 1 << 20;
+    private static final int MAX_BODY_BYTES = 2 << 20;
     private static final int OK = 200;
-    private static final int WATCH_SLICE_MILLIS = 100;
-    private static final long TICK_MILLIS = 50;
+    private static final int WATCH_WAIT_MILLIS = 100;
+    private static final long LEASE_CHECK_INTERVAL_MILLIS = 50;
 
     private final StandinStore store = new StandinStore(SteadyClock::nanos);
     private final StandinRoster roster;
-    private final AtomicReference<PlatformSwitches> switches = new AtomicReference<>(PlatformSwitches.GOOD);
-    private final AtomicInteger answersToLose = new AtomicInteger();
-    private final StoreBudget writes = new StoreBudget(WRITES_PER_SECOND, WRITES_PER_SECOND,
+    private final AtomicReference<PlatformSwitches> switches = new AtomicReference<>(PlatformSwitches.NORMAL);
+    private final AtomicInteger writeAnswersToDrop = new AtomicInteger();
+    private final StoreBudget writeBudget = new StoreBudget(WRITES_PER_SECOND, WRITES_PER_SECOND,
             SteadyClock::nanos);
-    private final StoreBudget reads = new StoreBudget(READS_PER_SECOND, READS_PER_SECOND, SteadyClock::nanos);
-    private final Map<String, AtomicInteger> calls = new ConcurrentHashMap<>();
+    private final StoreBudget readBudget = new StoreBudget(READS_PER_SECOND, READS_PER_SECOND,
+            SteadyClock::nanos);
+    private final Map<String, AtomicInteger> callCounts = new ConcurrentHashMap<>();
     private final HttpServer server;
-    private final Thread ticker;
+    private final Thread leaseExpirer;
 
     /**
-     * Starts to listen.
+     * Starts the stand-in.
      *
-     * @param loops the event loops
-     * @param address where to listen
-     * @param rosterLagMillis how much the list lags
+     * @param loops event loops of the server
+     * @param address listen address
+     * @param rosterLagMillis delay in milliseconds before a change appears in the roster
      */
     public PlatformStandin(NetLoops loops, InetSocketAddress address, long rosterLagMillis)
     {
         roster = new StandinRoster(rosterLagMillis, SteadyClock::nanos);
         EventLog events = new EventLog("platform-standin", new HybridClock(System::currentTimeMillis));
-        server = new HttpServer(loops, address, LARGEST_BODY, events, this::handle);
-        ticker = Thread.ofVirtual().name("platform-ticker").start(this::tick);
+        server = new HttpServer(loops, address, MAX_BODY_BYTES, events, this::handle);
+        leaseExpirer = Thread.ofVirtual().name("platform-ticker").start(this::expireLeasesPeriodically);
     }
 
-    /** @return the address it listens on */
+    /** @return listen address */
     public InetSocketAddress address()
     {
         return server.address();
     }
 
     /**
-     * @param next how it behaves from now on
+     * Changes the simulated faults.
+     *
+     * @param newSwitches new switches
      */
-    public void use(PlatformSwitches next)
+    public void setSwitches(PlatformSwitches newSwitches)
     {
-        answersToLose.set(next.loseWriteAnswers());
-        switches.set(next);
+        writeAnswersToDrop.set(newSwitches.loseWriteAnswers());
+        switches.set(newSwitches);
     }
 
-    private void tick()
+    private void expireLeasesPeriodically()
     {
         try
         {
             while (true)
             {
-                Thread.sleep(TICK_MILLIS);
-                store.endLapsedLeases();
+                Thread.sleep(LEASE_CHECK_INTERVAL_MILLIS);
+                store.expireLeases();
             }
         }
         catch (InterruptedException e)
@@ -113,16 +115,18 @@
         HttpMessage request = exchange.request();
         if (request.path().startsWith("/standin/"))
         {
-            control(exchange);
+            handleControl(exchange);
             return;
         }
-        PlatformSwitches now = switches.get();
-        if (now.delayMillis() > 0)
+        PlatformSwitches current = switches.get();
+        if (current.delayMillis() > 0)
         {
-            Thread.sleep(now.delayMillis());
+            Thread.sleep(current.delayMillis());
         }
-        boolean silent = request.path().startsWith("/v1/workers") ? now.rosterDown() : switches.get().down();
-        if (silent)
+        boolean unavailable = request.path().startsWith("/v1/workers")
+                ? current.rosterDown()
+                : switches.get().down();
+        if (unavailable)
         {
             exchange.abort();
             return;
@@ -130,20 +134,20 @@
         serve(exchange);
     }
 
-    private void control(HttpExchange exchange) throws InterruptedException
+    private void handleControl(HttpExchange exchange) throws InterruptedException
     {
         HttpMessage request = exchange.request();
         switch (request.path())
         {
             case "/standin/switches" ->
-                use(Json.read(request.body(), PlatformSwitches.class, ResultCode.BAD_REQUEST));
+                setSwitches(Json.read(request.body(), PlatformSwitches.class, ResultCode.BAD_REQUEST));
             case "/standin/workers" ->
                 roster.put(Json.read(request.body(), RosterLine.class, ResultCode.BAD_REQUEST));
             case "/standin/calls" -> {
-                exchange.respond(HttpReply.json(OK, calls));
+                exchange.respond(HttpReply.json(OK, callCounts));
                 return;
             }
-            default -> throw new GaugehollowException(ResultCode.UNKNOWN_PATH, "no such switch");
+            default -> throw new GaugehollowException(ResultCode.UNKNOWN_PATH, "unknown control path");
         }
         exchange.respond(HttpReply.json(OK, Map.of()));
     }
@@ -151,9 +155,9 @@
     private void serve(HttpExchange exchange) throws InterruptedException
     {
         String path = exchange.request().path();
-        calls.computeIfAbsent(path, p -> new AtomicInteger()).incrementAndGet();
+        callCounts.computeIfAbsent(path, p -> new AtomicInteger()).incrementAndGet();
         boolean write = path.startsWith("/v3/kv/txn") || path.startsWith("/v3/lease");
-        (write ? writes : reads).acquire();
+        (write ? writeBudget : readBudget).acquire();
         if ("/v1/workers".equals(path))
         {
             exchange.respond(HttpReply.json(OK, roster.groups()));
@@ -176,20 +180,21 @@
                 exchange.respond(HttpReply.json(OK, Map.of()));
             }
             case "/v3/watch" -> watch(exchange, body.path("create_request"));
-            default -> throw new GaugehollowException(ResultCode.UNKNOWN_PATH, "not a path of this stand-in");
+            default -> throw new GaugehollowException(ResultCode.UNKNOWN_PATH,
+                    "path is not supported by the stand-in");
         }
     }
 
     private ObjectNode range(JsonNode body)
     {
         Optional<String> end = body.has("range_end")
-                ? Optional.of(text(body.path("range_end")))
+                ? Optional.of(decodeText(body.path("range_end")))
                 : Optional.empty();
         ObjectNode answer = Json.mapper().createObjectNode();
         ArrayNode kvs = answer.putArray("kvs");
-        for (StoredValue value : store.range(text(body.path("key")), end))
+        for (StoredValue value : store.range(decodeText(body.path("key")), end))
         {
-            kvs.add(kv(value.key(), value.value(), value.modRevision()));
+            kvs.add(toKeyValue(value.key(), value.value(), value.modRevision()));
         }
         answer.putObject("header").put("revision", Long.toString(store.revision()));
         return answer;
@@ -200,15 +205,15 @@
         Map<String, Long> required = new HashMap<>();
         for (JsonNode compare : body.path("compare"))
         {
-            required.put(text(compare.path("key")), compare.path("mod_revision").asLong());
+            required.put(decodeText(compare.path("key")), compare.path("mod_revision").asLong());
         }
-        List<StandinStore.Write> wanted = new ArrayList<>();
+        List<StandinStore.Write> writes = new ArrayList<>();
         for (JsonNode operation : body.path("success"))
         {
-            wanted.add(writeOf(operation));
+            writes.add(parseWrite(operation));
         }
-        boolean applied = store.commit(required, wanted);
-        if (answersToLose.getAndUpdate(n -> Math.max(0, n - 1)) > 0)
+        boolean applied = store.commit(required, writes);
+        if (writeAnswersToDrop.getAndUpdate(n -> Math.max(0, n - 1)) > 0)
         {
             exchange.abort();
             return;
@@ -218,26 +223,27 @@
         exchange.respond(HttpReply.json(OK, answer));
     }
 
-    private static StandinStore.Write writeOf(JsonNode operation)
+    private static StandinStore.Write parseWrite(JsonNode operation)
     {
         if (operation.has("request_delete_range"))
         {
-            return new StandinStore.Write(text(operation.path("request_delete_range").path("key")), null, 0);
+            return new StandinStore.Write(decodeText(operation.path("request_delete_range").path("key")),
+                    null, 0);
         }
         JsonNode put = operation.path("request_put");
         byte[] value = Base64.getDecoder().decode(put.path("value").asText());
-        if (value.length > LARGEST_VALUE)
+        if (value.length > MAX_VALUE_BYTES)
         {
-            throw new GaugehollowException(ResultCode.BODY_TOO_LARGE, "a value may have at most 1 MiB");
+            throw new GaugehollowException(ResultCode.BODY_TOO_LARGE, "value exceeds the limit of 1 MiB");
         }
-        return new StandinStore.Write(text(put.path("key")), value, put.path("lease").asLong());
+        return new StandinStore.Write(decodeText(put.path("key")), value, put.path("lease").asLong());
     }
 
     private void watch(HttpExchange exchange, JsonNode request) throws InterruptedException
     {
-        String from = text(request.path("key"));
-        String end = text(request.path("range_end"));
-        long next = request.path("start_revision").asLong();
+        String from = decodeText(request.path("key"));
+        String end = decodeText(request.path("range_end"));
+        long nextRevision = request.path("start_revision").asLong();
         exchange.startLines();
         while (exchange.isOpen())
         {
@@ -246,7 +252,7 @@
                 exchange.abort();
                 return;
             }
-            Optional<List<StoreChange>> changes = store.await(from, end, next, WATCH_SLICE_MILLIS);
+            Optional<List<StoreChange>> changes = store.await(from, end, nextRevision, WATCH_WAIT_MILLIS);
             if (changes.isEmpty())
             {
                 exchange.writeLine(
@@ -256,13 +262,13 @@
             }
             if (!changes.get().isEmpty())
             {
-                exchange.writeLine(Json.write(Map.of("result", Map.of("events", eventsOf(changes.get())))));
-                next = changes.get().getLast().revision() + 1;
+                exchange.writeLine(Json.write(Map.of("result", Map.of("events", toEvents(changes.get())))));
+                nextRevision = changes.get().getLast().revision() + 1;
             }
         }
     }
 
-    private static List<ObjectNode> eventsOf(List<StoreChange> changes)
+    private static List<ObjectNode> toEvents(List<StoreChange> changes)
     {
         List<ObjectNode> events = new ArrayList<>();
         for (StoreChange change : changes)
@@ -272,13 +278,13 @@
             {
                 event.put("type", "DELETE");
             }
-            event.set("kv", kv(change.key(), change.value(), change.revision()));
+            event.set("kv", toKeyValue(change.key(), change.value(), change.revision()));
             events.add(event);
         }
         return events;
     }
 
-    private static ObjectNode kv(String key, byte[] value, long modRevision)
+    private static ObjectNode toKeyValue(String key, byte[] value, long modRevision)
     {
         return Json.mapper().createObjectNode()
                 .put("key", Base64.getEncoder().encodeToString(key.getBytes(StandardCharsets.UTF_8)))
@@ -286,7 +292,7 @@
                 .put("mod_revision", Long.toString(modRevision));
     }
 
-    private static String text(JsonNode base64)
+    private static String decodeText(JsonNode base64)
     {
         return new String(Base64.getDecoder().decode(base64.asText()), StandardCharsets.UTF_8);
     }
@@ -294,7 +300,7 @@
     @Override
     public void close()
     {
-        ticker.interrupt();
+        leaseExpirer.interrupt();
         server.close();
     }
 }
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/PlatformSwitches.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/PlatformSwitches.java
@@ -5,15 +5,15 @@
 package org.gaugehollow.standin;
 
 /**
- * How the platform's stand-in misbehaves. Sent as JSON to {@code PUT /standin/switches}.
+ * Faults that the platform stand-in simulates. Sent as JSON to {@code PUT /standin/switches}.
  *
- * @param down every call is cut off without an answer and nothing is applied
- * @param delayMillis every call waits this long first
- * @param loseWriteAnswers so many next transactions are applied and then cut off without an answer
- * @param rosterDown the list does not answer
+ * @param down whether store calls are aborted without being applied
+ * @param delayMillis delay of each call in milliseconds
+ * @param loseWriteAnswers number of next transactions that are applied but not answered
+ * @param rosterDown whether roster calls are aborted
  */
 public record PlatformSwitches(boolean down, int delayMillis, int loseWriteAnswers, boolean rosterDown)
 {
-    /** Everything works. */
-    public static final PlatformSwitches GOOD = new PlatformSwitches(false, 0, 0, false);
+    /** No faults. */
+    public static final PlatformSwitches NORMAL = new PlatformSwitches(false, 0, 0, false);
 }
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/RosterLine.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/RosterLine.java
@@ -7,11 +7,11 @@
 import java.util.Map;
 
 /**
- * A worker as the platform's stand-in is told of it.
+ * Registration of a worker with the platform stand-in.
  *
- * @param address IP number and port
- * @param labels the labels of the list
- * @param gone whether it is to vanish from the list
+ * @param address IP address and port
+ * @param labels labels in the roster
+ * @param gone whether the worker is removed from the roster
  */
 public record RosterLine(String address, Map<String, String> labels, boolean gone)
 {
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/RunningTasks.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/RunningTasks.java
@@ -13,7 +13,7 @@
 import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.upstream.UpstreamTask;
 
-/** The tasks of one worker's stand-in: what runs, what ran, and under which claims. Thread-safe. */
+/** Running tasks and start records of a worker stand-in. Thread-safe. */
 final class RunningTasks
 {
     private final ComputeResources capacity;
@@ -21,8 +21,8 @@
     private final Map<Long, UpstreamTask> running = new LinkedHashMap<>();
     private final Map<Long, StartRecord> starts = new LinkedHashMap<>();
     private long claimedEpoch;
-    private long lastStart;
-    private int refused;
+    private long lastStartNumber;
+    private int rejectedStarts;
     private int overloads;
 
     RunningTasks(ComputeResources capacity, boolean fencing)
@@ -31,7 +31,7 @@
         this.fencing = fencing;
     }
 
-    /** Raises the fence; false where a newer owner has claimed the worker. */
+    /** Raises the claimed epoch, or returns false if a newer owner has claimed the worker. */
     synchronized boolean claim(long epoch)
     {
         if (epoch < claimedEpoch)
@@ -42,34 +42,34 @@
         return true;
     }
 
-    /** Starts a task; empty where an older owner is fenced off. */
+    /** Starts a task and returns its start number, or empty if an older owner is fenced off. */
     synchronized Optional<Long> start(UpstreamTask task, String key, String body)
     {
         if (fencing && task.epoch() < claimedEpoch)
         {
-            refused++;
+            rejectedStarts++;
             return Optional.empty();
         }
-        lastStart++;
-        running.put(lastStart, task);
-        starts.put(lastStart,
+        lastStartNumber++;
+        running.put(lastStartNumber, task);
+        starts.put(lastStartNumber,
                 new StartRecord(task.task(), key, task.epoch(), System.currentTimeMillis(), 0, body));
-        if (!capacity.fits(used()))
+        if (!capacity.fits(usedResources()))
         {
             overloads++;
         }
-        return Optional.of(lastStart);
+        return Optional.of(lastStartNumber);
     }
 
-    synchronized void refuse()
+    synchronized void recordRejection()
     {
-        refused++;
+        rejectedStarts++;
     }
 
-    synchronized void end(long start)
+    synchronized void recordEnd(long startNumber)
     {
-        running.remove(start);
-        starts.computeIfPresent(start, (n, r) -> new StartRecord(r.task(), r.key(), r.epoch(),
+        running.remove(startNumber);
+        starts.computeIfPresent(startNumber, (n, r) -> new StartRecord(r.task(), r.key(), r.epoch(),
                 r.startedMillis(), System.currentTimeMillis(), r.body()));
     }
 
@@ -80,10 +80,10 @@
 
     synchronized WorkerRecords records(String worker)
     {
-        return new WorkerRecords(worker, new ArrayList<>(starts.values()), refused, overloads);
+        return new WorkerRecords(worker, new ArrayList<>(starts.values()), rejectedStarts, overloads);
     }
 
-    private ComputeResources used()
+    private ComputeResources usedResources()
     {
         ComputeResources sum = ComputeResources.NONE;
         for (UpstreamTask task : running.values())
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/StandinRoster.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/StandinRoster.java
@@ -11,17 +11,17 @@
 import java.util.concurrent.TimeUnit;
 import java.util.function.LongSupplier;
 
-/** The list of workers, which shows each change only after a while. Thread-safe. */
+/** Worker roster that publishes each change after a delay. Thread-safe. */
 final class StandinRoster
 {
-    private record Pending(RosterLine line, long shownAt)
+    private record Pending(RosterLine line, long visibleAtNanos)
     {
     }
 
     private final long lagNanos;
     private final LongSupplier nanoTime;
     private final List<Pending> pending = new ArrayList<>();
-    private final Map<String, RosterLine> shown = new TreeMap<>();
+    private final Map<String, RosterLine> visible = new TreeMap<>();
 
     StandinRoster(long lagMillis, LongSupplier nanoTime)
     {
@@ -39,28 +39,28 @@
         long now = nanoTime.getAsLong();
         for (Pending change : List.copyOf(pending))
         {
-            if (change.shownAt - now <= 0)
+            if (change.visibleAtNanos - now <= 0)
             {
                 pending.remove(change);
-                show(change.line);
+                apply(change.line);
             }
         }
         List<Map<String, Object>> groups = new ArrayList<>();
-        shown.values().forEach(
+        visible.values().forEach(
                 line -> groups.add(Map.of("targets", List.of(line.address()), "labels", line.labels())));
         return groups;
     }
 
-    private void show(RosterLine line)
+    private void apply(RosterLine line)
     {
         String worker = line.labels().get("worker");
         if (line.gone())
         {
-            shown.remove(worker);
+            visible.remove(worker);
         }
         else
         {
-            shown.put(worker, line);
+            visible.put(worker, line);
         }
     }
 }
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/StandinStore.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/StandinStore.java
@@ -19,81 +19,85 @@
 import org.gaugehollow.platform.StoreChange;
 import org.gaugehollow.platform.StoredValue;
 
-/** The stand-in's keys, leases and history, in memory. Thread-safe. */
+/** In-memory keys, leases and change history of the platform stand-in. Thread-safe. */
 public final class StandinStore
 {
-    private static final int HISTORY = 10_000;
+    private static final int MAX_HISTORY_CHANGES = 10_000;
 
-    private record Held(byte[] value, long modRevision, long lease)
+    private record Entry(byte[] value, long modRevision, long lease)
     {
     }
 
-    private record Lease(long ttlNanos, long endsAt)
+    private record Lease(long ttlNanos, long expiresAtNanos)
     {
     }
 
     private final LongSupplier nanoTime;
-    private final NavigableMap<String, Held> keys = new TreeMap<>();
+    private final NavigableMap<String, Entry> keys = new TreeMap<>();
     private final Map<Long, Lease> leases = new HashMap<>();
     private final Deque<StoreChange> history = new ArrayDeque<>();
     private long revision = 1;
-    private long historyFloor = 1;
+    private long compactedRevision = 1;
     private long lastLease = 1_000;
 
     /**
-     * @param nanoTime a monotonic clock
+     * Creates an empty store.
+     *
+     * @param nanoTime monotonic clock in nanoseconds
      */
     public StandinStore(LongSupplier nanoTime)
     {
         this.nanoTime = nanoTime;
     }
 
-    /** @return the revision of the newest write */
+    /** @return revision of the newest write */
     public synchronized long revision()
     {
         return revision;
     }
 
     /**
-     * @param from the first key
-     * @param end the key after the last one; only the first key is read if it is absent
-     * @return the keys' values
+     * Reads a range of keys.
+     *
+     * @param from first key
+     * @param end end of the range, exclusive; if empty, only the first key is read
+     * @return values of the existing keys
      */
     public synchronized List<StoredValue> range(String from, Optional<String> end)
     {
-        endLapsedLeases();
+        expireLeases();
         List<StoredValue> values = new ArrayList<>();
-        NavigableMap<String, Held> part = end.map(e -> keys.subMap(from, true, e, false))
+        NavigableMap<String, Entry> selected = end.map(e -> keys.subMap(from, true, e, false))
                 .orElseGet(() -> keys.subMap(from, true, from, true));
-        part.forEach((key, held) -> values.add(new StoredValue(key, held.value, held.modRevision)));
+        selected.forEach((key, entry) -> values.add(new StoredValue(key, entry.value, entry.modRevision)));
         return values;
     }
 
     /**
-     * A write of a transaction.
+     * Write operation of a transaction.
      *
-     * @param key the key
-     * @param value its value; null removes the key
-     * @param lease the lease it is tied to, or 0
+     * @param key key to write
+     * @param value new value; null deletes the key
+     * @param lease lease that the key is attached to, or 0
      */
     public record Write(String key, byte[] value, long lease)
     {
     }
 
     /**
-     * Applies all writes at one revision if every key has the revision given for it.
+     * Applies all writes at one revision if every key has its required revision.
      *
-     * @param required the revision that each key must have, 0 where it must not be there
-     * @param writes what is written
-     * @return whether it was applied
+     * @param required required revision of each key; 0 if the key must not exist
+     * @param writes writes to apply
+     * @return whether the writes were applied
      */
     public synchronized boolean commit(Map<String, Long> required, List<Write> writes)
     {
-        endLapsedLeases();
+        expireLeases();
         for (Map.Entry<String, Long> condition : required.entrySet())
         {
-            Held held = keys.get(condition.getKey());
-            if ((held == null ? 0 : held.modRevision) != condition.getValue())
+            Entry entry = keys.get(condition.getKey());
+            if ((entry == null ? 0 : entry.modRevision) != condition.getValue())
             {
                 return false;
             }
@@ -117,26 +121,28 @@
         {
             if (keys.remove(write.key) != null)
             {
-                remember(new StoreChange(write.key, new byte[0], revision, true));
+                addToHistory(new StoreChange(write.key, new byte[0], revision, true));
             }
             return;
         }
-        keys.put(write.key, new Held(write.value, revision, write.lease));
-        remember(new StoreChange(write.key, write.value, revision, false));
+        keys.put(write.key, new Entry(write.value, revision, write.lease));
+        addToHistory(new StoreChange(write.key, write.value, revision, false));
     }
 
-    private void remember(StoreChange change)
+    private void addToHistory(StoreChange change)
     {
         history.addLast(change);
-        if (history.size() > HISTORY)
+        if (history.size() > MAX_HISTORY_CHANGES)
         {
-            historyFloor = history.removeFirst().revision();
+            compactedRevision = history.removeFirst().revision();
         }
     }
 
     /**
-     * @param seconds how long the lease lasts without a renewal
-     * @return the new lease
+     * Grants a lease.
+     *
+     * @param seconds time to live in seconds
+     * @return id of the new lease
      */
     public synchronized long grant(long seconds)
     {
@@ -147,12 +153,14 @@
     }
 
     /**
-     * @param id a lease
-     * @return the seconds granted, or 0 for a lease that has ended
+     * Renews a lease.
+     *
+     * @param id lease id
+     * @return time to live in seconds, or 0 if the lease has expired
      */
     public synchronized long renew(long id)
     {
-        endLapsedLeases();
+        expireLeases();
         Lease lease = leases.get(id);
         if (lease == null)
         {
@@ -162,7 +170,11 @@
         return Math.max(1, TimeUnit.NANOSECONDS.toSeconds(lease.ttlNanos));
     }
 
-    /** @param id a lease that ends now */
+    /**
+     * Revokes a lease and deletes its keys.
+     *
+     * @param id lease id
+     */
     public synchronized void revoke(long id)
     {
         if (leases.remove(id) != null)
@@ -171,13 +183,13 @@
         }
     }
 
-    /** Ends leases whose time is over; called before each use and by a ticker. */
-    synchronized void endLapsedLeases()
+    /** Removes expired leases and their keys. */
+    synchronized void expireLeases()
     {
         long now = nanoTime.getAsLong();
-        List<Long> lapsed = leases.entrySet().stream().filter(e -> e.getValue().endsAt - now <= 0)
+        List<Long> expired = leases.entrySet().stream().filter(e -> e.getValue().expiresAtNanos - now <= 0)
                 .map(Map.Entry::getKey).toList();
-        for (long id : lapsed)
+        for (long id : expired)
         {
             leases.remove(id);
             removeKeysOf(id);
@@ -186,44 +198,44 @@
 
     private void removeKeysOf(long lease)
     {
-        List<String> gone = keys.entrySet().stream().filter(e -> e.getValue().lease == lease)
+        List<String> attachedKeys = keys.entrySet().stream().filter(e -> e.getValue().lease == lease)
                 .map(Map.Entry::getKey).toList();
-        if (!gone.isEmpty())
+        if (!attachedKeys.isEmpty())
         {
             revision++;
-            gone.forEach(key -> apply(new Write(key, null, 0)));
+            attachedKeys.forEach(key -> apply(new Write(key, null, 0)));
             notifyAll();
         }
     }
 
     /**
-     * Waits for changes of some keys.
+     * Waits for changes in a range of keys.
      *
-     * @param from the first key
-     * @param end the key after the last one
-     * @param fromRevision the first revision to tell of
-     * @param millis how long to wait at most
-     * @return the changes, or nothing at all if they are no longer held
-     * @throws InterruptedException if the process stops
+     * @param from first key
+     * @param end end of the range, exclusive
+     * @param fromRevision first revision to return
+     * @param timeoutMillis maximum time to wait in milliseconds
+     * @return the changes, or empty if the history no longer covers {@code fromRevision}
+     * @throws InterruptedException if the thread is interrupted
      */
     public synchronized Optional<List<StoreChange>> await(String from, String end, long fromRevision,
-            long millis) throws InterruptedException
+            long timeoutMillis) throws InterruptedException
     {
-        long until = nanoTime.getAsLong() + TimeUnit.MILLISECONDS.toNanos(millis);
+        long deadlineNanos = nanoTime.getAsLong() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         while (true)
         {
-            if (fromRevision <= historyFloor && historyFloor > 1)
+            if (fromRevision <= compactedRevision && compactedRevision > 1)
             {
                 return Optional.empty();
             }
             List<StoreChange> found = history.stream().filter(c -> c.revision() >= fromRevision
                     && c.key().compareTo(from) >= 0 && c.key().compareTo(end) < 0).toList();
-            long left = TimeUnit.NANOSECONDS.toMillis(until - nanoTime.getAsLong());
-            if (!found.isEmpty() || left <= 0)
+            long remainingMillis = TimeUnit.NANOSECONDS.toMillis(deadlineNanos - nanoTime.getAsLong());
+            if (!found.isEmpty() || remainingMillis <= 0)
             {
                 return Optional.of(found);
             }
-            wait(left);
+            wait(remainingMillis);
         }
     }
 }
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/StartRecord.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/StartRecord.java
@@ -5,14 +5,14 @@
 package org.gaugehollow.standin;
 
 /**
- * One run of a task on the worker's stand-in, for proofs to read back.
+ * Record of one run on a worker stand-in, for tests to read.
  *
- * @param task the task's id
- * @param key the key it carried, or empty
- * @param epoch the claim it was started under
- * @param startedMillis when it started, in milliseconds since 1970
- * @param endedMillis when it ended, 0 while it runs
- * @param body the start of the request's body
+ * @param task task id
+ * @param key idempotency key, or empty
+ * @param epoch epoch of the owner that started the run
+ * @param startedMillis start time, Unix time in milliseconds
+ * @param endedMillis end time, Unix time in milliseconds; 0 while the task runs
+ * @param body beginning of the request body
  */
 public record StartRecord(String task, String key, long epoch, long startedMillis, long endedMillis,
         String body)
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/TaskBehaviour.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/TaskBehaviour.java
@@ -9,14 +9,13 @@
 import org.gaugehollow.model.ResultCode;
 
 /**
- * What a request asks of the worker's stand-in, as its JSON body. Any other body runs for no time
- * and is sent back.
+ * Behaviour that a request selects in its JSON body. Any other body is sent back without delay.
  *
- * @param millis how long the task runs
- * @param echo sent back
- * @param behave {@code cut} ends the connection in the middle of the answer, {@code drop} before
- *            it, {@code twice} sends the answer two times, {@code unnamed} leaves the task id out,
- *            {@code wrong-task} names another task
+ * @param millis run time in milliseconds
+ * @param echo value to send back
+ * @param behave {@code cut} closes the connection in the middle of the answer, {@code drop} before
+ *            it; {@code twice} sends the answer twice, {@code unnamed} omits the task id,
+ *            {@code wrong-task} sends another task id
  */
 public record TaskBehaviour(int millis, String echo, String behave)
 {
@@ -32,8 +31,8 @@
         }
     }
 
-    boolean does(String what)
+    boolean behavesAs(String name)
     {
-        return what.equals(behave);
+        return name.equals(behave);
     }
 }
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/WorkerRecords.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/WorkerRecords.java
@@ -7,16 +7,16 @@
 import java.util.List;
 
 /**
- * What a worker's stand-in recorded.
+ * Records of a worker stand-in.
  *
- * @param worker its id
- * @param starts every run, in the order of their starts
- * @param refused how many starts it refused
- * @param overloads how often what ran together was more than it holds
+ * @param worker worker id
+ * @param starts all runs in start order
+ * @param refused number of rejected starts
+ * @param overloads number of starts that exceeded the capacity
  */
 public record WorkerRecords(String worker, List<StartRecord> starts, int refused, int overloads)
 {
-    /** Copies the list. */
+    /** Copies the start records. */
     public WorkerRecords
     {
         starts = List.copyOf(starts);
