--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/WorkerStandin.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/WorkerStandin.java
@@ -28,8 +28,8 @@
 import org.gaugehollow.upstream.UpstreamTask;
 
 /**
- * Takes an upstream's place in tests and in the local cell: runs requests, tells what runs, is
- * claimed by its owner, refuses older owners where fencing is on, drains when it leaves, and
+ * Simulates an upstream in tests and in the local cell: runs requests, reports running tasks,
+ * accepts claims of owners, rejects older owners if fencing is on, drains when it leaves, and
  * records every run.
  */
 public final class WorkerStandin implements AutoCloseable
@@ -37,9 +37,9 @@
     private static final int OK = 200;
     private static final int CONFLICT = 409;
     private static final int UNAVAILABLE = 503;
-    private static final int LARGEST_BODY = 1 << 20;
-    private static final int SHOWN_BODY = 120;
-    private static final long DRAIN_STEP_MILLIS = 10;
+    private static final int MAX_BODY_BYTES = 1 << 20;
+    private static final int MAX_RECORDED_BODY_CHARS = 120;
+    private static final long DRAIN_POLL_MILLIS = 10;
 
     private final WorkerStandinOptions options;
     private final RunningTasks tasks;
@@ -47,33 +47,33 @@
     private final HttpServer server;
 
     /**
-     * Starts to listen.
+     * Starts the stand-in.
      *
-     * @param loops the event loops
-     * @param address where to listen
-     * @param options what the worker is
+     * @param loops event loops of the server
+     * @param address listen address
+     * @param options worker options
      */
     public WorkerStandin(NetLoops loops, InetSocketAddress address, WorkerStandinOptions options)
     {
         this.options = options;
         this.tasks = new RunningTasks(options.capacity(), options.fencing());
         EventLog events = new EventLog(options.id(), new HybridClock(System::currentTimeMillis));
-        this.server = new HttpServer(loops, address, LARGEST_BODY, events, this::handle);
+        this.server = new HttpServer(loops, address, MAX_BODY_BYTES, events, this::handle);
     }
 
-    /** @return the address it listens on */
+    /** @return listen address */
     public InetSocketAddress address()
     {
         return server.address();
     }
 
     /**
-     * The line of the platform's list that describes this worker.
+     * Returns the roster entry of this worker.
      *
-     * @param advertised the address that boxes are to use
+     * @param advertised address for boxes to connect to
      * @param state {@code live} or {@code leaving}
-     * @param gone whether the worker is to vanish from the list
-     * @return the line
+     * @param gone whether the worker is removed from the roster
+     * @return the roster entry
      */
     public RosterLine rosterLine(String advertised, String state, boolean gone)
     {
@@ -90,26 +90,26 @@
         return new RosterLine(advertised, labels, gone);
     }
 
-    /** From now on new requests are refused, those in flight go on. */
+    /** Rejects new requests; requests in flight continue. */
     public void leave()
     {
         leaving.set(true);
     }
 
     /**
-     * Waits until nothing runs.
+     * Waits until no task runs.
      *
-     * @throws InterruptedException if the process stops
+     * @throws InterruptedException if the thread is interrupted
      */
     public void drain() throws InterruptedException
     {
         while (!tasks.running().isEmpty())
         {
-            Thread.sleep(DRAIN_STEP_MILLIS);
+            Thread.sleep(DRAIN_POLL_MILLIS);
         }
     }
 
-    /** @return what was recorded so far */
+    /** @return records of all runs so far */
     public WorkerRecords records()
     {
         return tasks.records(options.id());
@@ -120,7 +120,7 @@
         switch (exchange.request().path())
         {
             case "/gaugehollow/claim" -> claim(exchange);
-            case "/gaugehollow/tasks" -> exchange.respond(HttpReply.json(OK, report(true)));
+            case "/gaugehollow/tasks" -> exchange.respond(HttpReply.json(OK, createReport(true)));
             case "/standin/records" -> exchange.respond(HttpReply.json(OK, records()));
             case "/standin/leave" -> {
                 leave();
@@ -135,10 +135,10 @@
         UpstreamClaim claim = Json.read(exchange.request().body(), UpstreamClaim.class,
                 ResultCode.BAD_REQUEST);
         boolean accepted = tasks.claim(claim.epoch());
-        exchange.respond(HttpReply.json(accepted ? OK : CONFLICT, report(accepted)));
+        exchange.respond(HttpReply.json(accepted ? OK : CONFLICT, createReport(accepted)));
     }
 
-    private UpstreamReport report(boolean accepted)
+    private UpstreamReport createReport(boolean accepted)
     {
         return new UpstreamReport(accepted, options.fencing(), leaving.get(), tasks.running());
     }
@@ -151,17 +151,17 @@
                         "header " + UpstreamHeaders.TASK + " is missing"));
         if (leaving.get())
         {
-            tasks.refuse();
-            exchange.respond(refusal(UNAVAILABLE, id, "leaving"));
+            tasks.recordRejection();
+            exchange.respond(createRejection(UNAVAILABLE, id, "leaving"));
             return;
         }
-        UpstreamTask task = new UpstreamTask(id, epochOf(request), needsOf(request));
-        String shown = new String(request.body(), StandardCharsets.UTF_8);
+        UpstreamTask task = new UpstreamTask(id, parseEpoch(request), parseNeeds(request));
+        String bodyText = new String(request.body(), StandardCharsets.UTF_8);
         Optional<Long> start = tasks.start(task, request.header(UpstreamHeaders.KEY).orElse(""),
-                shown.substring(0, Math.min(shown.length(), SHOWN_BODY)));
+                bodyText.substring(0, Math.min(bodyText.length(), MAX_RECORDED_BODY_CHARS)));
         if (start.isEmpty())
         {
-            exchange.respond(refusal(CONFLICT, id, "fenced"));
+            exchange.respond(createRejection(CONFLICT, id, "fenced"));
             return;
         }
         TaskBehaviour behaviour = TaskBehaviour.of(request.body());
@@ -171,42 +171,42 @@
         }
         finally
         {
-            tasks.end(start.get());
+            tasks.recordEnd(start.get());
         }
-        answer(exchange, id, behaviour);
+        respond(exchange, id, behaviour);
     }
 
-    private void answer(HttpExchange exchange, String task, TaskBehaviour behaviour)
+    private void respond(HttpExchange exchange, String task, TaskBehaviour behaviour)
             throws InterruptedException
     {
         byte[] body = behaviour.echo() == null
                 ? exchange.request().body()
                 : Json.write(Map.of("echo", behaviour.echo()));
         HttpReply reply = HttpReply.of(OK, HttpReply.JSON_TYPE, body);
-        reply.headers().set(UpstreamHeaders.TASK, behaviour.does("wrong-task") ? "another" : task);
-        if (behaviour.does("unnamed"))
+        reply.headers().set(UpstreamHeaders.TASK, behaviour.behavesAs("wrong-task") ? "another" : task);
+        if (behaviour.behavesAs("unnamed"))
         {
             reply.headers().remove(UpstreamHeaders.TASK);
         }
-        if (behaviour.does("drop"))
+        if (behaviour.behavesAs("drop"))
         {
             exchange.abort();
         }
-        else if (behaviour.does("cut"))
+        else if (behaviour.behavesAs("cut"))
         {
             exchange.respondTruncated(reply);
         }
         else
         {
             exchange.respond(reply);
-            if (behaviour.does("twice"))
+            if (behaviour.behavesAs("twice"))
             {
                 exchange.respond(reply);
             }
         }
     }
 
-    private static HttpReply refusal(int status, String task, String reason)
+    private static HttpReply createRejection(int status, String task, String reason)
     {
         HttpReply reply = HttpReply.json(status, Map.of("reason", reason));
         reply.headers().set(UpstreamHeaders.TASK, task);
@@ -214,21 +214,21 @@
         return reply;
     }
 
-    private static long epochOf(HttpMessage request)
+    private static long parseEpoch(HttpMessage request)
     {
         return request.header(UpstreamHeaders.EPOCH).map(Long::parseLong).orElse(0L);
     }
 
-    private static ComputeResources needsOf(HttpMessage request)
+    private static ComputeResources parseNeeds(HttpMessage request)
     {
-        Map<String, Integer> parts = new HashMap<>();
+        Map<String, Integer> amounts = new HashMap<>();
         for (String part : request.header(UpstreamHeaders.NEEDS).orElse("slots=1").split(";"))
         {
             int equals = part.indexOf('=');
-            parts.put(part.substring(0, equals), Integer.parseInt(part.substring(equals + 1)));
+            amounts.put(part.substring(0, equals), Integer.parseInt(part.substring(equals + 1)));
         }
-        return new ComputeResources(parts.getOrDefault("slots", 1), parts.getOrDefault("cpuMillis", 0),
-                parts.getOrDefault("memoryMib", 0), parts.getOrDefault("accelerators", 0));
+        return new ComputeResources(amounts.getOrDefault("slots", 1), amounts.getOrDefault("cpuMillis", 0),
+                amounts.getOrDefault("memoryMib", 0), amounts.getOrDefault("accelerators", 0));
     }
 
     @Override
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/WorkerStandinOptions.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/WorkerStandinOptions.java
@@ -7,13 +7,13 @@
 import org.gaugehollow.model.ComputeResources;
 
 /**
- * What a worker's stand-in is.
+ * Options of a worker stand-in.
  *
- * @param id its id
- * @param hall its hall
- * @param rack its rack
- * @param capacity what it holds
- * @param fencing whether it refuses starts of older owners
+ * @param id worker id
+ * @param hall data hall
+ * @param rack rack name
+ * @param capacity total compute resources
+ * @param fencing whether starts from older owners are rejected
  */
 public record WorkerStandinOptions(String id, String hall, String rack, ComputeResources capacity,
         boolean fencing)
