--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/ApplyCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/ApplyCommand.java
@@ -9,7 +9,7 @@
 import java.util.List;
 import java.util.Optional;
 
-import org.gaugehollow.net.HttpCaller;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.HttpReply;
 import org.gaugehollow.net.NetLoops;
 
@@ -50,9 +50,10 @@
         {
             resources.addAll(ResourceFile.readAll(Path.of(file)));
         }
-        try (NetLoops loops = new NetLoops(Optional.empty()); HttpCaller caller = server.createCaller(loops))
+        try (NetLoops loops = new NetLoops(Optional.empty());
+                HttpClient httpClient = server.createClient(loops))
         {
-            ResourceClient client = new ResourceClient(caller);
+            ResourceClient client = new ResourceClient(httpClient);
             for (ResourceFile resource : resources)
             {
                 HttpReply reply = client.apply(resource);
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/GetCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/GetCommand.java
@@ -6,7 +6,7 @@
 
 import java.util.Optional;
 
-import org.gaugehollow.net.HttpCaller;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.NetLoops;
 
 import com.beust.jcommander.Parameter;
@@ -41,9 +41,9 @@
     @Override
     public ExitCode run(Console console) throws InterruptedException
     {
-        try (NetLoops loops = new NetLoops(Optional.empty()); HttpCaller caller = server.createCaller(loops))
+        try (NetLoops loops = new NetLoops(Optional.empty()); HttpClient client = server.createClient(loops))
         {
-            return Replies.print(console, Replies.call(caller, "GET", "/v1/" + resource, new byte[0]),
+            return Replies.print(console, Replies.call(client, "GET", "/v1/" + resource, new byte[0]),
                     output.isJson());
         }
     }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LoadCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LoadCommand.java
@@ -14,7 +14,7 @@
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.net.HttpCaller;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.NetAddress;
 import org.gaugehollow.net.NetLoops;
 import org.gaugehollow.time.SteadyClock;
@@ -66,7 +66,7 @@
         LoadMix mix = Json.read(readMix(), LoadMix.class, ResultCode.SETTINGS_RANGE);
         try (NetLoops loops = new NetLoops(Optional.empty()))
         {
-            List<HttpCaller> callers = new ArrayList<>();
+            List<HttpClient> callers = new ArrayList<>();
             for (String server : servers)
             {
                 if (!NetAddress.parse(server).getAddress().isLoopbackAddress())
@@ -74,14 +74,14 @@
                     throw new GaugehollowException(ResultCode.SETTINGS_RANGE,
                             "only loopback addresses are allowed");
                 }
-                callers.add(new HttpCaller(loops, NetAddress.parse(server)));
+                callers.add(new HttpClient(loops, NetAddress.parse(server)));
             }
             LoadRun run = new LoadRun(mix, callers, rate, seconds, timeoutMillis, seed);
             long startedAt = SteadyClock.nanos();
             List<LoadResult.Summary> summaries = run
                     .run(() -> console.printDiagnostic(run.sent() + " requests sent"));
             printSummaries(console, summaries, (SteadyClock.nanos() - startedAt) / 1e9);
-            callers.forEach(HttpCaller::close);
+            callers.forEach(HttpClient::close);
         }
         return ExitCode.OK;
     }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LoadRun.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LoadRun.java
@@ -18,9 +18,9 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.Json;
-import org.gaugehollow.net.HttpCaller;
-import org.gaugehollow.net.HttpMessage;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 import org.gaugehollow.time.SteadyClock;
 import org.gaugehollow.upstream.UpstreamHeaders;
 
@@ -40,7 +40,7 @@
     private static final int MAX_OPEN_CALLS = 20_000;
 
     private final LoadMix mix;
-    private final List<HttpCaller> servers;
+    private final List<HttpClient> servers;
     private final double requestsPerSecond;
     private final long durationNanos;
     private final int timeoutMillis;
@@ -49,7 +49,7 @@
     private final Semaphore openCallPermits = new Semaphore(MAX_OPEN_CALLS);
     private final AtomicLong sent = new AtomicLong();
 
-    LoadRun(LoadMix mix, List<HttpCaller> servers, double requestsPerSecond, int seconds, int timeoutMillis,
+    LoadRun(LoadMix mix, List<HttpClient> servers, double requestsPerSecond, int seconds, int timeoutMillis,
             long seed)
     {
         this.mix = mix;
@@ -93,7 +93,7 @@
     {
         LoadResult result = results.get(part.workload());
         result.recordOffered();
-        HttpCaller server = servers.get((int) (sent.getAndIncrement() % servers.size()));
+        HttpClient server = servers.get((int) (sent.getAndIncrement() % servers.size()));
         openCallPermits.acquire();
         Thread.ofVirtual().name("load").start(() ->
         {
@@ -108,7 +108,7 @@
         });
     }
 
-    private void callAndRecord(HttpCaller server, LoadMix.Part part, long dueNanos, LoadResult result)
+    private void callAndRecord(HttpClient server, LoadMix.Part part, long dueNanos, LoadResult result)
     {
         try
         {
@@ -127,7 +127,7 @@
         }
     }
 
-    private HttpMessage createMessage(LoadMix.Part part)
+    private HttpRequest createMessage(LoadMix.Part part)
     {
         HttpHeaders headers = new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, HttpReply.JSON_TYPE)
                 .set(UpstreamHeaders.TEAM, part.team()).set(UpstreamHeaders.TIMEOUT, timeoutMillis);
@@ -138,6 +138,6 @@
         }
         byte[] body = new String(Json.write(Map.of("millis", part.millis(), "echo", "load")),
                 StandardCharsets.UTF_8).getBytes(StandardCharsets.UTF_8);
-        return new HttpMessage("POST", "/v1/workloads/" + part.workload() + "/requests", "", headers, body);
+        return new HttpRequest("POST", "/v1/workloads/" + part.workload() + "/requests", "", headers, body);
     }
 }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LocalCell.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LocalCell.java
@@ -12,7 +12,7 @@
 import org.gaugehollow.entry.EntryBox;
 import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.Json;
-import org.gaugehollow.net.HttpCaller;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.NetAddress;
 import org.gaugehollow.net.NetLoops;
 import org.gaugehollow.settings.EntrySettings;
@@ -45,7 +45,7 @@
     LocalCell(int firstPort, int workerCount) throws InterruptedException
     {
         platform = new PlatformStandin(loops, loopback(firstPort + PLATFORM_OFFSET), 0);
-        try (HttpCaller caller = new HttpCaller(loops, platform.address()))
+        try (HttpClient client = new HttpClient(loops, platform.address()))
         {
             for (int i = 1; i <= workerCount; i++)
             {
@@ -53,7 +53,7 @@
                         new WorkerStandinOptions("worker-" + i, HALL, "rack-1", WORKER_CAPACITY, true));
                 workers.add(worker);
                 String address = NetAddress.format(worker.address());
-                caller.call("PUT", "/standin/workers", Json.write(worker.rosterLine(address, "live", false)),
+                client.call("PUT", "/standin/workers", Json.write(worker.rosterLine(address, "live", false)),
                         TIMEOUT_MILLIS);
             }
         }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LocalCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/LocalCommand.java
@@ -13,7 +13,7 @@
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.net.HttpCaller;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.HttpReply;
 import org.gaugehollow.net.NetAddress;
 import org.gaugehollow.net.NetLoops;
@@ -54,12 +54,12 @@
         try (LocalCell cell = new LocalCell(port, workers); NetLoops loops = new NetLoops(Optional.empty()))
         {
             EntryBox first = cell.boxes().getFirst();
-            try (HttpCaller caller = new HttpCaller(loops, first.operatorAddress()))
+            try (HttpClient client = new HttpClient(loops, first.operatorAddress()))
             {
-                awaitReady(console, caller);
+                awaitReady(console, client);
                 for (ResourceFile resource : demoResources())
                 {
-                    new ResourceClient(caller).apply(resource);
+                    new ResourceClient(client).apply(resource);
                 }
             }
             for (EntryBox box : cell.boxes())
@@ -74,11 +74,11 @@
         return ExitCode.OK;
     }
 
-    private static void awaitReady(Console console, HttpCaller caller) throws InterruptedException
+    private static void awaitReady(Console console, HttpClient client) throws InterruptedException
     {
         for (int i = 1; i <= MAX_READY_PROBES; i++)
         {
-            if (isReady(caller))
+            if (isReady(client))
             {
                 return;
             }
@@ -91,9 +91,9 @@
         throw new GaugehollowException(ResultCode.INTERNAL, "the cell did not become ready");
     }
 
-    private static boolean isReady(HttpCaller caller) throws InterruptedException
+    private static boolean isReady(HttpClient client) throws InterruptedException
     {
-        HttpReply reply = Replies.call(caller, "GET", "/readyz", new byte[0]);
+        HttpReply reply = Replies.call(client, "GET", "/readyz", new byte[0]);
         return reply.status() == OK;
     }
 
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/Replies.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/Replies.java
@@ -8,7 +8,7 @@
 
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.net.HttpCaller;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.HttpReply;
 
 /** Calls a box and prints its reply. */
@@ -21,12 +21,12 @@
     {
     }
 
-    static HttpReply call(HttpCaller caller, String method, String path, byte[] body)
+    static HttpReply call(HttpClient client, String method, String path, byte[] body)
             throws InterruptedException
     {
         try
         {
-            return caller.call(method, path, body, TIMEOUT_MILLIS);
+            return client.call(method, path, body, TIMEOUT_MILLIS);
         }
         catch (GaugehollowException e)
         {
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/ResourceClient.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/ResourceClient.java
@@ -8,9 +8,9 @@
 
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.net.HttpCaller;
-import org.gaugehollow.net.HttpMessage;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 
 import com.fasterxml.jackson.databind.JsonNode;
 
@@ -24,11 +24,11 @@
     private static final int TIMEOUT_MILLIS = 10_000;
     private static final int NOT_FOUND = 404;
 
-    private final HttpCaller caller;
+    private final HttpClient client;
 
-    ResourceClient(HttpCaller caller)
+    ResourceClient(HttpClient client)
     {
-        this.caller = caller;
+        this.client = client;
     }
 
     /** Creates the resource or updates it at its current revision. */
@@ -46,7 +46,7 @@
 
     private Optional<Long> fetchRevision(String path) throws InterruptedException
     {
-        HttpReply reply = Replies.call(caller, "GET", path, new byte[0]);
+        HttpReply reply = Replies.call(client, "GET", path, new byte[0]);
         if (reply.status() == NOT_FOUND || Replies.isError(reply))
         {
             return Optional.empty();
@@ -60,6 +60,6 @@
     {
         HttpHeaders headers = new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, HttpReply.JSON_TYPE);
         revision.ifPresent(r -> headers.set(HttpHeaderNames.IF_MATCH, "\"" + r + '"'));
-        return caller.call(new HttpMessage(method, path, "", headers, body), TIMEOUT_MILLIS);
+        return client.call(new HttpRequest(method, path, "", headers, body), TIMEOUT_MILLIS);
     }
 }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/ServerOptions.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/ServerOptions.java
@@ -6,7 +6,7 @@
 
 import java.util.Optional;
 
-import org.gaugehollow.net.HttpCaller;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.NetAddress;
 import org.gaugehollow.net.NetLoops;
 
@@ -28,8 +28,8 @@
                 .orElse(DEFAULT_OPERATOR_ADDRESS);
     }
 
-    HttpCaller createCaller(NetLoops loops)
+    HttpClient createClient(NetLoops loops)
     {
-        return new HttpCaller(loops, NetAddress.parse(address()));
+        return new HttpClient(loops, NetAddress.parse(address()));
     }
 }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/SubmitCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/SubmitCommand.java
@@ -11,9 +11,9 @@
 
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.net.HttpCaller;
-import org.gaugehollow.net.HttpMessage;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 import org.gaugehollow.net.NetAddress;
 import org.gaugehollow.net.NetLoops;
 import org.gaugehollow.upstream.UpstreamHeaders;
@@ -76,20 +76,20 @@
         {
             headers.set(UpstreamHeaders.KEY, key);
         }
-        HttpMessage request = new HttpMessage("POST", "/v1/workloads/" + workload + "/requests", "", headers,
+        HttpRequest request = new HttpRequest("POST", "/v1/workloads/" + workload + "/requests", "", headers,
                 body.getBytes(StandardCharsets.UTF_8));
         try (NetLoops loops = new NetLoops(Optional.empty());
-                HttpCaller caller = new HttpCaller(loops, NetAddress.parse(server)))
+                HttpClient client = new HttpClient(loops, NetAddress.parse(server)))
         {
-            return printReply(console, send(caller, request));
+            return printReply(console, send(client, request));
         }
     }
 
-    private HttpReply send(HttpCaller caller, HttpMessage request) throws InterruptedException
+    private HttpReply send(HttpClient client, HttpRequest request) throws InterruptedException
     {
         try
         {
-            return caller.call(request, timeoutMillis + TIMEOUT_GRACE_MILLIS);
+            return client.call(request, timeoutMillis + TIMEOUT_GRACE_MILLIS);
         }
         catch (GaugehollowException e)
         {
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/TimelineCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/TimelineCommand.java
@@ -15,7 +15,7 @@
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.net.HttpCaller;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.HttpReply;
 import org.gaugehollow.net.NetAddress;
 import org.gaugehollow.net.NetLoops;
@@ -71,9 +71,9 @@
     private static boolean addEvents(Console console, NetLoops loops, String server, List<Event> merged)
             throws InterruptedException
     {
-        try (HttpCaller caller = new HttpCaller(loops, NetAddress.parse(server)))
+        try (HttpClient client = new HttpClient(loops, NetAddress.parse(server)))
         {
-            HttpReply reply = Replies.call(caller, "GET", "/v1/timeline", new byte[0]);
+            HttpReply reply = Replies.call(client, "GET", "/v1/timeline", new byte[0]);
             merged.addAll(List.of(Json.read(reply.body(), Event[].class, ResultCode.STORE_BAD_ANSWER)));
             return true;
         }
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/WatchCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/WatchCommand.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 import java.util.concurrent.TimeUnit;
 
-import org.gaugehollow.net.HttpCaller;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.HttpConnection;
-import org.gaugehollow.net.HttpMessage;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 import org.gaugehollow.net.NetLoops;
 import org.gaugehollow.time.SteadyClock;
 
@@ -54,11 +54,11 @@
     public ExitCode run(Console console) throws InterruptedException
     {
         String query = from == null ? "watch=true" : "watch=true&from=" + from;
-        HttpMessage request = new HttpMessage("GET", "/v1/" + target, query, new DefaultHttpHeaders(),
+        HttpRequest request = new HttpRequest("GET", "/v1/" + target, query, new DefaultHttpHeaders(),
                 new byte[0]);
         try (NetLoops loops = new NetLoops(Optional.empty());
-                HttpCaller caller = server.createCaller(loops);
-                HttpConnection connection = caller.openOwn(CONNECT_TIMEOUT_MILLIS))
+                HttpClient client = server.createClient(loops);
+                HttpConnection connection = client.openConnection(CONNECT_TIMEOUT_MILLIS))
         {
             HttpReply head = connection.openStream(request, nextDeadline());
             byte[] chunk = connection.readChunk(nextDeadline(), false);
--- a/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/WorkerStandinCommand.java
+++ b/gaugehollow-daemon/src/main/java/org/gaugehollow/daemon/WorkerStandinCommand.java
@@ -11,7 +11,7 @@
 import org.gaugehollow.model.ComputeResources;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.Json;
-import org.gaugehollow.net.HttpCaller;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.NetAddress;
 import org.gaugehollow.net.NetLoops;
 import org.gaugehollow.standin.RosterLine;
@@ -89,26 +89,26 @@
                 new ComputeResources(slots, cpuMillis, memoryMib, accelerators), !noFencing);
         WorkerStandin worker = new WorkerStandin(loops, NetAddress.parse(listen), options);
         String advertised = advertise == null ? NetAddress.format(worker.address()) : advertise;
-        HttpCaller caller = new HttpCaller(loops, NetAddress.parse(platform));
-        announceWithRetry(caller, worker.rosterLine(advertised, "live", false));
+        HttpClient client = new HttpClient(loops, NetAddress.parse(platform));
+        announceWithRetry(client, worker.rosterLine(advertised, "live", false));
         console.printLine("ready " + NetAddress.format(worker.address()));
         CountDownLatch stopped = new CountDownLatch(1);
         Runtime.getRuntime()
-                .addShutdownHook(new Thread(() -> leave(worker, caller, advertised, stopped), "leave"));
+                .addShutdownHook(new Thread(() -> leave(worker, client, advertised, stopped), "leave"));
         stopped.await();
         return ExitCode.OK;
     }
 
-    private static void leave(WorkerStandin worker, HttpCaller caller, String advertised,
+    private static void leave(WorkerStandin worker, HttpClient client, String advertised,
             CountDownLatch stopped)
     {
         try
         {
             worker.leave();
-            announce(caller, worker.rosterLine(advertised, "leaving", false));
+            announce(client, worker.rosterLine(advertised, "leaving", false));
             Thread.sleep(REJECT_BEFORE_STOP_MILLIS);
             worker.drain();
-            announce(caller, worker.rosterLine(advertised, "leaving", true));
+            announce(client, worker.rosterLine(advertised, "leaving", true));
         }
         catch (InterruptedException e)
         {
@@ -127,14 +127,14 @@
     /**
      * Registers the worker with the platform and retries until it answers. The call is idempotent.
      */
-    private static void announceWithRetry(HttpCaller caller, RosterLine line) throws InterruptedException
+    private static void announceWithRetry(HttpClient client, RosterLine line) throws InterruptedException
     {
         long deadlineNanos = SteadyClock.nanos() + ANNOUNCE_TIMEOUT_NANOS;
         while (true)
         {
             try
             {
-                announce(caller, line);
+                announce(client, line);
                 return;
             }
             catch (GaugehollowException e)
@@ -148,8 +148,8 @@
         }
     }
 
-    private static void announce(HttpCaller caller, RosterLine line) throws InterruptedException
+    private static void announce(HttpClient client, RosterLine line) throws InterruptedException
     {
-        caller.call("PUT", "/standin/workers", Json.write(line), TIMEOUT_MILLIS);
+        client.call("PUT", "/standin/workers", Json.write(line), TIMEOUT_MILLIS);
     }
 }
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/ConfigurationTest.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/ConfigurationTest.java
@@ -13,10 +13,10 @@
 
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.net.HttpCaller;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.HttpConnection;
-import org.gaugehollow.net.HttpMessage;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 import org.gaugehollow.net.NetAddress;
 import org.gaugehollow.standin.PlatformSwitches;
 import org.gaugehollow.time.SteadyClock;
@@ -52,11 +52,11 @@
     {
         byte[] spec = ("{\"taskClass\":\"batch\",\"repeatable\":true,\"timeoutMillis\":" + timeoutMillis
                 + "}").getBytes(StandardCharsets.UTF_8);
-        HttpMessage message = new HttpMessage("PUT", "/v1/workloads/rebuild", "",
+        HttpRequest request = new HttpRequest("PUT", "/v1/workloads/rebuild", "",
                 new DefaultHttpHeaders().set("If-Match", "\"" + revision + "\""), spec);
-        try (HttpCaller caller = new HttpCaller(cell.loops, NetAddress.parse(box.operatorAddress)))
+        try (HttpClient client = new HttpClient(cell.loops, NetAddress.parse(box.operatorAddress)))
         {
-            return caller.call(message, 10_000);
+            return client.call(request, 10_000);
         }
     }
 
@@ -153,10 +153,10 @@
         }
         List<Long> seen = new ArrayList<>();
         StringBuilder partial = new StringBuilder();
-        try (HttpCaller caller = new HttpCaller(cell.loops, NetAddress.parse(watched.operatorAddress));
-                HttpConnection stream = caller.openOwn(2_000))
+        try (HttpClient client = new HttpClient(cell.loops, NetAddress.parse(watched.operatorAddress));
+                HttpConnection stream = client.openConnection(2_000))
         {
-            stream.openStream(new HttpMessage("GET", "/v1/workloads", "watch=true&from=" + from,
+            stream.openStream(new HttpRequest("GET", "/v1/workloads", "watch=true&from=" + from,
                     new DefaultHttpHeaders(), new byte[0]), SteadyClock.nanos() + 5_000_000_000L);
             TestCell.await("watch shows all changes", () ->
             {
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/TestBox.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/TestBox.java
@@ -8,7 +8,7 @@
 
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.net.HttpCaller;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.HttpReply;
 import org.gaugehollow.net.NetAddress;
 import org.gaugehollow.net.NetLoops;
@@ -47,9 +47,9 @@
 
     HttpReply callOperator(String method, String path, byte[] body) throws InterruptedException
     {
-        try (HttpCaller caller = new HttpCaller(loops, NetAddress.parse(operatorAddress)))
+        try (HttpClient client = new HttpClient(loops, NetAddress.parse(operatorAddress)))
         {
-            return caller.call(method, path, body, TIMEOUT_MILLIS);
+            return client.call(method, path, body, TIMEOUT_MILLIS);
         }
     }
 
--- a/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/TestCell.java
+++ b/gaugehollow-daemon/src/test/java/org/gaugehollow/daemon/TestCell.java
@@ -23,9 +23,9 @@
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.net.HttpCaller;
-import org.gaugehollow.net.HttpMessage;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 import org.gaugehollow.net.NetAddress;
 import org.gaugehollow.net.NetLoops;
 import org.gaugehollow.standin.PlatformSwitches;
@@ -290,11 +290,11 @@
         {
             headers.set(UpstreamHeaders.ATTEMPT, 1);
         }
-        HttpMessage message = new HttpMessage("POST", "/v1/workloads/" + workload + "/requests", "", headers,
+        HttpRequest request = new HttpRequest("POST", "/v1/workloads/" + workload + "/requests", "", headers,
                 body.getBytes(StandardCharsets.UTF_8));
-        try (HttpCaller caller = new HttpCaller(loops, NetAddress.parse(box.callerAddress)))
+        try (HttpClient client = new HttpClient(loops, NetAddress.parse(box.callerAddress)))
         {
-            return caller.call(message, timeoutMillis + 3_000);
+            return client.call(request, timeoutMillis + 3_000);
         }
         catch (GaugehollowException e)
         {
@@ -324,9 +324,9 @@
 
     WorkerRecords records(String worker) throws InterruptedException
     {
-        try (HttpCaller caller = new HttpCaller(loops, NetAddress.parse(workerAddresses.get(worker))))
+        try (HttpClient client = new HttpClient(loops, NetAddress.parse(workerAddresses.get(worker))))
         {
-            HttpReply reply = caller.call("GET", "/standin/records", new byte[0], CONTROL_TIMEOUT_MILLIS);
+            HttpReply reply = client.call("GET", "/standin/records", new byte[0], CONTROL_TIMEOUT_MILLIS);
             return Json.read(reply.body(), WorkerRecords.class, ResultCode.INTERNAL);
         }
     }
@@ -362,17 +362,17 @@
 
     void setPlatformSwitches(PlatformSwitches switches) throws InterruptedException
     {
-        try (HttpCaller caller = new HttpCaller(loops, NetAddress.parse(platform.readyValue())))
+        try (HttpClient client = new HttpClient(loops, NetAddress.parse(platform.readyValue())))
         {
-            caller.call("PUT", "/standin/switches", Json.write(switches), CONTROL_TIMEOUT_MILLIS);
+            client.call("PUT", "/standin/switches", Json.write(switches), CONTROL_TIMEOUT_MILLIS);
         }
     }
 
     Map<String, Integer> platformCallCounts() throws InterruptedException
     {
-        try (HttpCaller caller = new HttpCaller(loops, NetAddress.parse(platform.readyValue())))
+        try (HttpClient client = new HttpClient(loops, NetAddress.parse(platform.readyValue())))
         {
-            HttpReply reply = caller.call("GET", "/standin/calls", new byte[0], CONTROL_TIMEOUT_MILLIS);
+            HttpReply reply = client.call("GET", "/standin/calls", new byte[0], CONTROL_TIMEOUT_MILLIS);
             Map<String, Integer> calls = new HashMap<>();
             Json.read(reply.body(), JsonNode.class, ResultCode.INTERNAL).properties()
                     .forEach(e -> calls.put(e.getKey(), e.getValue().asInt()));
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/FaultProxy.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/FaultProxy.java
@@ -73,12 +73,12 @@
     /**
      * Changes how traffic is treated.
      *
-     * @param next new mode
+     * @param newMode the new mode
      */
-    public void mode(FaultMode next)
+    public void setMode(FaultMode newMode)
     {
-        mode = next;
-        if (next == FaultMode.RESET)
+        mode = newMode;
+        if (newMode == FaultMode.RESET)
         {
             connections.forEach(this::closeBoth);
         }
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/PlatformStandin.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/PlatformStandin.java
@@ -22,8 +22,8 @@
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
 import org.gaugehollow.net.HttpExchange;
-import org.gaugehollow.net.HttpMessage;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 import org.gaugehollow.net.HttpServer;
 import org.gaugehollow.net.NetLoops;
 import org.gaugehollow.platform.StoreBudget;
@@ -112,7 +112,7 @@
 
     private void handle(HttpExchange exchange) throws InterruptedException
     {
-        HttpMessage request = exchange.request();
+        HttpRequest request = exchange.request();
         if (request.path().startsWith("/standin/"))
         {
             handleControl(exchange);
@@ -136,7 +136,7 @@
 
     private void handleControl(HttpExchange exchange) throws InterruptedException
     {
-        HttpMessage request = exchange.request();
+        HttpRequest request = exchange.request();
         switch (request.path())
         {
             case "/standin/switches" ->
--- a/gaugehollow-standin/src/main/java/org/gaugehollow/standin/WorkerStandin.java
+++ b/gaugehollow-standin/src/main/java/org/gaugehollow/standin/WorkerStandin.java
@@ -18,8 +18,8 @@
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
 import org.gaugehollow.net.HttpExchange;
-import org.gaugehollow.net.HttpMessage;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 import org.gaugehollow.net.HttpServer;
 import org.gaugehollow.net.NetLoops;
 import org.gaugehollow.upstream.UpstreamClaim;
@@ -145,7 +145,7 @@
 
     private void run(HttpExchange exchange) throws InterruptedException
     {
-        HttpMessage request = exchange.request();
+        HttpRequest request = exchange.request();
         String id = request.header(UpstreamHeaders.TASK)
                 .orElseThrow(() -> new GaugehollowException(ResultCode.BAD_REQUEST,
                         "header " + UpstreamHeaders.TASK + " is missing"));
@@ -214,12 +214,12 @@
         return reply;
     }
 
-    private static long parseEpoch(HttpMessage request)
+    private static long parseEpoch(HttpRequest request)
     {
         return request.header(UpstreamHeaders.EPOCH).map(Long::parseLong).orElse(0L);
     }
 
-    private static ComputeResources parseNeeds(HttpMessage request)
+    private static ComputeResources parseNeeds(HttpRequest request)
     {
         Map<String, Integer> amounts = new HashMap<>();
         for (String part : request.header(UpstreamHeaders.NEEDS).orElse("slots=1").split(";"))
--- a/gaugehollow/src/main/java/org/gaugehollow/box/CallerRelay.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/CallerRelay.java
@@ -20,8 +20,8 @@
 import org.gaugehollow.model.TryOutcomes;
 import org.gaugehollow.net.HttpExchange;
 import org.gaugehollow.net.HttpHandler;
-import org.gaugehollow.net.HttpMessage;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 
 /**
  * Answers callers' requests, relaying them to a peer with store access if this box has none. The
@@ -47,7 +47,7 @@
          * @throws GaugehollowException {@code PEER_UNREACHABLE} if the request was not sent,
          *             {@code PEER_LOST} if it may have been sent, or the peer's own error code
          */
-        HttpReply answer(HttpMessage request) throws InterruptedException;
+        HttpReply answer(HttpRequest request) throws InterruptedException;
     }
 
     /** Finds peers that may be able to answer a request. */
@@ -100,14 +100,14 @@
     }
 
     /** Must run before the reply is sent, so that the event is logged even if the box crashes then. */
-    private void recordFailure(HttpMessage request, GaugehollowException e)
+    private void recordFailure(HttpRequest request, GaugehollowException e)
     {
         events.record(EventType.CALL_REFUSED, request.path(), request.method() + ' ' + e.code().httpStatus()
                 + ' ' + e.code() + ", " + e.code().outcome().label() + ": " + e.getMessage());
     }
 
     /** Answers a request locally or, if that fails and a peer can help, through a peer. */
-    HttpReply answer(HttpMessage request) throws InterruptedException
+    HttpReply answer(HttpRequest request) throws InterruptedException
     {
         try
         {
@@ -123,7 +123,7 @@
         }
     }
 
-    private HttpReply relayToPeers(HttpMessage request, GaugehollowException localFailure)
+    private HttpReply relayToPeers(HttpRequest request, GaugehollowException localFailure)
             throws InterruptedException
     {
         TryOutcomes attempts = new TryOutcomes();
@@ -150,13 +150,13 @@
         throw attempts.failure();
     }
 
-    private void recordRelay(HttpMessage request, String peer, String outcome)
+    private void recordRelay(HttpRequest request, String peer, String outcome)
     {
         events.record(EventType.CALL_RELAYED, request.path(), "over " + peer + ": " + outcome);
     }
 
     /** Returns no peers if the lookup fails, so that the local attempt's outcome is reported. */
-    private Map<String, Peer> findPeers(HttpMessage request) throws InterruptedException
+    private Map<String, Peer> findPeers(HttpRequest request) throws InterruptedException
     {
         try
         {
@@ -169,7 +169,7 @@
         }
     }
 
-    private List<Map.Entry<String, Peer>> selectPeers(HttpMessage request) throws InterruptedException
+    private List<Map.Entry<String, Peer>> selectPeers(HttpRequest request) throws InterruptedException
     {
         Map<String, Peer> found = findPeers(request);
         backoffStarts.values().removeIf(start -> nanoTime.getAsLong() - start > PEER_BACKOFF_NANOS);
--- a/gaugehollow/src/main/java/org/gaugehollow/box/CallerService.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/CallerService.java
@@ -4,8 +4,8 @@
  */
 package org.gaugehollow.box;
 
-import org.gaugehollow.net.HttpMessage;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 
 /** Answers callers' requests. Implemented by an adapter for the protocol of its callers. */
 @FunctionalInterface
@@ -19,5 +19,5 @@
      * @throws InterruptedException if the thread is interrupted
      * @throws org.gaugehollow.model.GaugehollowException if the request is rejected or fails
      */
-    HttpReply answer(HttpMessage request) throws InterruptedException;
+    HttpReply answer(HttpRequest request) throws InterruptedException;
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/FreshConfigService.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/FreshConfigService.java
@@ -8,8 +8,8 @@
 
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.net.HttpMessage;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 
 /**
  * Rejects requests while the cached configuration may be stale: during a store outage queues and
@@ -32,7 +32,7 @@
     }
 
     @Override
-    public HttpReply answer(HttpMessage request) throws InterruptedException
+    public HttpReply answer(HttpRequest request) throws InterruptedException
     {
         if (mayBeStale.getAsBoolean())
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/box/JobBox.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/JobBox.java
@@ -85,7 +85,7 @@
      * @param events event log
      * @param metrics metrics registry
      */
-    public record Parts(NetLoops loops, EventLog events, Metrics metrics)
+    public record PlatformContext(NetLoops loops, EventLog events, Metrics metrics)
     {
     }
 
@@ -110,7 +110,7 @@
      * @param openPlatform opens the platform
      * @param serviceFactory creates the service for callers
      */
-    public JobBox(JobBoxSettings settings, Function<Parts, CellPlatform> openPlatform,
+    public JobBox(JobBoxSettings settings, Function<PlatformContext, CellPlatform> openPlatform,
             CallerServiceFactory serviceFactory)
     {
         this.settings = settings;
@@ -118,7 +118,7 @@
         this.events = new EventLog(id, new HybridClock(System::currentTimeMillis), Optional.of(metrics));
         InetAddress sourceAddress = NetAddress.parse(settings.callerAddress()).getAddress();
         this.loops = new NetLoops(Optional.of(sourceAddress));
-        CellPlatform openedPlatform = openPlatform.apply(new Parts(loops, events, metrics));
+        CellPlatform openedPlatform = openPlatform.apply(new PlatformContext(loops, events, metrics));
         this.store = new MonitoredStore(openedPlatform.store(), events, SteadyClock::nanos);
         this.platform = new MonitoredPlatform(openedPlatform, store);
         this.supervisor = new Supervisor(id, events);
--- a/gaugehollow/src/main/java/org/gaugehollow/box/JobIntake.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/JobIntake.java
@@ -231,7 +231,7 @@
             listing = listJob(id);
         }
         requireRecord(scope, id, listing);
-        StoreTransaction write = new StoreTransaction().put(JobKeys.cancel(id),
+        StoreTransaction write = new StoreTransaction().put(JobKeys.cancellation(id),
                 Cancellation.of(scope).write());
         writeUntilSettled(() -> HedgedCall.write(() -> store.commit(write)), id, deadlineNanos);
         events.record(EventType.JOB_CANCELLED, id, scope.queue().name() + customerSuffix(scope.customer()));
@@ -247,8 +247,8 @@
      */
     private boolean cancelIfAbsent(JobScope scope, String id, long deadlineNanos) throws InterruptedException
     {
-        StoreTransaction write = new StoreTransaction().require(JobKeys.job(id), 0).put(JobKeys.cancel(id),
-                Cancellation.of(scope).write());
+        StoreTransaction write = new StoreTransaction().require(JobKeys.job(id), 0)
+                .put(JobKeys.cancellation(id), Cancellation.of(scope).write());
         boolean[] written = new boolean[1];
         writeUntilSettled(() -> written[0] = HedgedCall.write(() -> store.commit(write)).isPresent(), id,
                 deadlineNanos);
@@ -281,7 +281,7 @@
         }
         StoreListing listing = listJob(id);
         JobRecord record = requireRecord(scope, id, listing);
-        boolean cancelled = listing.values().stream().filter(v -> v.key().equals(JobKeys.cancel(id)))
+        boolean cancelled = listing.values().stream().filter(v -> v.key().equals(JobKeys.cancellation(id)))
                 .anyMatch(v -> Cancellation.read(v.value()).appliesTo(record));
         return cancelled ? JobState.CANCELLED : JobState.QUEUED;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/box/PeerRelay.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/PeerRelay.java
@@ -4,8 +4,8 @@
  */
 package org.gaugehollow.box;
 
-import org.gaugehollow.net.HttpMessage;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 import org.gaugehollow.peer.PeerLink;
 import org.gaugehollow.peer.generated.PeerProtocol.Frame;
 import org.gaugehollow.peer.generated.PeerProtocol.RelayCall;
@@ -31,7 +31,7 @@
     }
 
     @Override
-    public HttpReply answer(HttpMessage request) throws InterruptedException
+    public HttpReply answer(HttpRequest request) throws InterruptedException
     {
         RelayCall.Builder call = RelayCall.newBuilder().setMethod(request.method()).setPath(request.path())
                 .setQuery(request.query()).setBody(ByteString.copyFrom(request.body()));
@@ -46,7 +46,7 @@
     {
         HttpHeaders headers = new DefaultHttpHeaders();
         call.getHeadersList().forEach(header -> headers.add(header.getName(), header.getValue()));
-        HttpMessage request = new HttpMessage(call.getMethod(), call.getPath(), call.getQuery(), headers,
+        HttpRequest request = new HttpRequest(call.getMethod(), call.getPath(), call.getQuery(), headers,
                 call.getBody().toByteArray());
         HttpReply reply = service.answer(request);
         String type = reply.headers().get(HttpHeaderNames.CONTENT_TYPE, "");
--- a/gaugehollow/src/main/java/org/gaugehollow/config/StoreKeys.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/config/StoreKeys.java
@@ -42,7 +42,7 @@
      * @param name a key below {@link #CONFIG}
      * @return whether it is a hall's map
      */
-    public static boolean isHallMap(String name)
+    public static boolean isAssignmentMap(String name)
     {
         return name.startsWith(HALLS);
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/CallerApi.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/CallerApi.java
@@ -18,8 +18,8 @@
 import org.gaugehollow.model.WorkloadSpec;
 import org.gaugehollow.net.HttpExchange;
 import org.gaugehollow.net.HttpHandler;
-import org.gaugehollow.net.HttpMessage;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 import org.gaugehollow.peer.generated.PeerProtocol.Answer;
 import org.gaugehollow.time.SteadyClock;
 import org.gaugehollow.upstream.UpstreamHeaders;
@@ -57,9 +57,9 @@
     @Override
     public void handle(HttpExchange exchange) throws InterruptedException
     {
-        HttpMessage message = exchange.request();
-        String workload = parseWorkload(message);
-        CallerRequest request = parseRequest(message, workload);
+        HttpRequest httpRequest = exchange.request();
+        String workload = parseWorkload(httpRequest);
+        CallerRequest request = parseRequest(httpRequest, workload);
         Answer answer = router.route(request);
         String taskClass = findSpec(workload) == null ? "none" : findSpec(workload).taskClass().label();
         metrics.results().labelValues(taskClass, Integer.toString(answer.getCode())).inc();
@@ -67,12 +67,12 @@
         exchange.respond(toReply(answer, request));
     }
 
-    private static String parseWorkload(HttpMessage message)
+    private static String parseWorkload(HttpRequest httpRequest)
     {
-        String path = message.path();
+        String path = httpRequest.path();
         boolean matches = path.startsWith(PREFIX) && path.endsWith(SUFFIX)
                 && path.length() > PREFIX.length() + SUFFIX.length();
-        if (!matches || !"POST".equals(message.method()))
+        if (!matches || !"POST".equals(httpRequest.method()))
         {
             throw new GaugehollowException(ResultCode.UNKNOWN_PATH,
                     "expected POST /v1/workloads/NAME/requests");
@@ -80,12 +80,12 @@
         return path.substring(PREFIX.length(), path.length() - SUFFIX.length());
     }
 
-    private CallerRequest parseRequest(HttpMessage message, String workload)
+    private CallerRequest parseRequest(HttpRequest httpRequest, String workload)
     {
-        String team = message.header(UpstreamHeaders.TEAM)
+        String team = httpRequest.header(UpstreamHeaders.TEAM)
                 .orElseThrow(() -> new GaugehollowException(ResultCode.BAD_REQUEST,
                         "header Gaugehollow-Team is required"));
-        String key = message.header(UpstreamHeaders.KEY).orElse("");
+        String key = httpRequest.header(UpstreamHeaders.KEY).orElse("");
         if (key.length() > MAX_KEY_LENGTH || key.chars().anyMatch(c -> c < ' ' || c > '~'))
         {
             throw new GaugehollowException(ResultCode.BAD_REQUEST,
@@ -93,7 +93,7 @@
         }
         WorkloadSpec spec = findSpec(workload);
         long fallback = spec == null ? DEFAULT_TIMEOUT_MILLIS : spec.timeoutMillis();
-        long timeout = parseNumber(message, UpstreamHeaders.TIMEOUT, fallback);
+        long timeout = parseNumber(httpRequest, UpstreamHeaders.TIMEOUT, fallback);
         if (timeout < 1 || timeout > TimeUnit.MINUTES.toMillis(10))
         {
             throw new GaugehollowException(ResultCode.BAD_REQUEST,
@@ -101,9 +101,9 @@
         }
         long deadline = SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(timeout);
         String task = box + '-' + Long.toString(lastTaskNumber.incrementAndGet(), TASK_NUMBER_RADIX);
-        return new CallerRequest(task, team, workload, key, parseKeyIssuedAt(message, key), deadline,
-                message.header(HttpHeaderNames.CONTENT_TYPE.toString()).orElse(DEFAULT_CONTENT_TYPE),
-                message.body(), 0, parseNumber(message, UpstreamHeaders.ATTEMPT, 0) == 1);
+        return new CallerRequest(task, team, workload, key, parseKeyIssuedAt(httpRequest, key), deadline,
+                httpRequest.header(HttpHeaderNames.CONTENT_TYPE.toString()).orElse(DEFAULT_CONTENT_TYPE),
+                httpRequest.body(), 0, parseNumber(httpRequest, UpstreamHeaders.ATTEMPT, 0) == 1);
     }
 
     private WorkloadSpec findSpec(String workload)
@@ -116,10 +116,10 @@
      * Returns when the key was issued: the time in the header, else the time in a version 7 UUID, else
      * 0.
      */
-    private static long parseKeyIssuedAt(HttpMessage message, String key)
+    private static long parseKeyIssuedAt(HttpRequest httpRequest, String key)
     {
         long embedded = KeyTime.fromUuid(key);
-        long issuedAt = parseNumber(message, UpstreamHeaders.KEY_ISSUED, embedded);
+        long issuedAt = parseNumber(httpRequest, UpstreamHeaders.KEY_ISSUED, embedded);
         if (issuedAt < 0)
         {
             throw new GaugehollowException(ResultCode.BAD_REQUEST,
@@ -128,11 +128,11 @@
         return issuedAt;
     }
 
-    private static long parseNumber(HttpMessage message, String header, long fallback)
+    private static long parseNumber(HttpRequest httpRequest, String header, long fallback)
     {
         try
         {
-            return message.header(header).map(Long::parseLong).orElse(fallback);
+            return httpRequest.header(header).map(Long::parseLong).orElse(fallback);
         }
         catch (NumberFormatException e)
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/EntryBox.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/EntryBox.java
@@ -45,7 +45,7 @@
 import org.gaugehollow.model.PolicySpec;
 import org.gaugehollow.model.TaskClass;
 import org.gaugehollow.model.WorkloadSpec;
-import org.gaugehollow.net.HttpCaller;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.HttpServer;
 import org.gaugehollow.net.NetAddress;
 import org.gaugehollow.net.NetLoops;
@@ -168,10 +168,11 @@
         this.peerServer = new PeerServer(loops, NetAddress.parse(settings.peerAddress()), events,
                 peerCallHandler);
         this.callerServer = new HttpServer(loops, NetAddress.parse(settings.callerAddress()),
-                WorkloadSpec.LARGEST_BODY, events, new CallerApi(id, router, activeConfig, metrics, events));
+                WorkloadSpec.MAX_BODY_BYTES, events,
+                new CallerApi(id, router, activeConfig, metrics, events));
         ResourceApi resourceApi = new ResourceApi(config, new ResourceStore(store, events), policyRegistry);
         this.operatorServer = new HttpServer(loops, NetAddress.parse(settings.operatorAddress()),
-                WorkloadSpec.LARGEST_BODY, events,
+                WorkloadSpec.MAX_BODY_BYTES, events,
                 new OperatorApi(resourceApi, placements, events, metrics, this::createReport));
         addGauges();
         startTasks();
@@ -179,16 +180,16 @@
 
     private PlatformStore openStore(PlatformSettings platform)
     {
-        HttpCaller caller = new HttpCaller(loops, NetAddress.parse(platform.storeAddress()));
+        HttpClient client = new HttpClient(loops, NetAddress.parse(platform.storeAddress()));
         StoreBudget budget = new StoreBudget(platform.callsPerSecond(),
                 (double) platform.callsPerSecond() * BURST_SECONDS, SteadyClock::nanos);
-        return new EtcdStore(caller, budget, metrics, platform.timeoutMillis());
+        return new EtcdStore(client, budget, metrics, platform.timeoutMillis());
     }
 
     private WorkerRoster openRoster(PlatformSettings platform)
     {
-        HttpCaller caller = new HttpCaller(loops, NetAddress.parse(platform.rosterAddress()));
-        return new HttpWorkerRoster(caller, platform.rosterPath(), platform.timeoutMillis());
+        HttpClient client = new HttpClient(loops, NetAddress.parse(platform.rosterAddress()));
+        return new HttpWorkerRoster(client, platform.rosterPath(), platform.timeoutMillis());
     }
 
     private static EngineLimits engineLimits(LimitSettings limits)
@@ -225,9 +226,9 @@
 
     private void addGauges()
     {
-        metrics.gauge("gaugehollow_waiting_tasks", "Tasks that wait for room.", engine::waiting);
+        metrics.gauge("gaugehollow_waiting_tasks", "Tasks that wait for room.", engine::waitingCount);
         metrics.gauge("gaugehollow_free_slots", "Free slots on the workers of this box.",
-                () -> engine.free().slots());
+                () -> engine.freeCapacity().slots());
         metrics.gauge("gaugehollow_key_records", "Records of keys kept.", keys::recordCount);
         metrics.gauge("gaugehollow_rights", "1 while this box may place.", () -> rights.isValid() ? 1 : 0);
         metrics.gauge("gaugehollow_config_revision", "The configuration in force.", config::revision);
@@ -261,7 +262,7 @@
         ActiveConfig next = new ActiveConfig(config.list(""), policyRegistry,
                 (name, error) -> events.record(EventType.CONFIG_BAD_ENTRY, name, error));
         activeConfig.set(next);
-        engine.usePolicies(next.policies());
+        engine.setPolicies(next.policies());
         events.record(EventType.CONFIG_APPLIED, self.id(), "revision " + config.revision());
     }
 
@@ -340,14 +341,14 @@
         while (true)
         {
             keys.evictExpired();
-            replicas.evictExpired(System.currentTimeMillis() - keyLimits().recordMillis());
+            replicas.evictExpired(System.currentTimeMillis() - keyLimits().retentionMillis());
             Thread.sleep(EVICTION_INTERVAL_MILLIS);
         }
     }
 
     private BoxStatus createStatus()
     {
-        ComputeResources free = rights.isValid() ? engine.free() : ComputeResources.NONE;
+        ComputeResources free = rights.isValid() ? engine.freeCapacity() : ComputeResources.NONE;
         StoreLiveness.Contact contact = storeLiveness.lastContact();
         return BoxStatus.newBuilder().setBox(self.id()).setHall(self.hall())
                 .setStoreEvidenceBox(contact.box()).setStoreEvidenceNumber(contact.number())
@@ -355,8 +356,8 @@
                 .setConfigRevision(config.revision()).setRosterVersion(roster.version())
                 .setFreeSlots(free.slots()).setFreeCpuMillis(free.cpuMillis())
                 .setFreeMemoryMib(free.memoryMib()).setFreeAccelerators(free.accelerators())
-                .setLeaving(leaving.get()).setPeerAddress(self.peerAddress()).setWaiting(engine.waiting())
-                .build();
+                .setLeaving(leaving.get()).setPeerAddress(self.peerAddress())
+                .setWaiting(engine.waitingCount()).build();
     }
 
     private BoxReport createReport()
@@ -364,10 +365,10 @@
         Map<String, Boolean> boxes = new HashMap<>();
         assignmentMaps.map().ifPresent(
                 map -> map.boxes().keySet().forEach(box -> boxes.put(box, peers.isReachable(box))));
-        return new BoxReport(self.id(), self.hall(), isReady(), rightsState(), session.storeAnswers(),
+        return new BoxReport(self.id(), self.hall(), isReady(), rightsState(), session.isStoreAvailable(),
                 config.revision(), assignmentMaps.epoch(), boxes,
                 assignmentMaps.map().map(map -> map.workersOf(self.id())).orElse(List.of()),
-                keys.owned().size(), keys.recordCount(), engine.free(), engine.waiting());
+                keys.ownedSlots().size(), keys.recordCount(), engine.freeCapacity(), engine.waitingCount());
     }
 
     private boolean isReady()
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/KeyedRunner.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/KeyedRunner.java
@@ -128,7 +128,7 @@
         }
         if (Answers.isNotRun(answer))
         {
-            replicateOutcome(entry.forgetRecord());
+            replicateOutcome(entry.notRunRecord());
             keyTable.recordNotRun(entry, answer);
         }
         else
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/LocalRunner.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/LocalRunner.java
@@ -79,7 +79,7 @@
             if (request.isExpired())
             {
                 return answer.orElseGet(() -> rejected(ResultCode.NO_ROOM,
-                        "no worker had enough free capacity before the deadline", request));
+                        "no worker had enough free capacity before the timeout", request));
             }
         }
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/Rebalancer.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/Rebalancer.java
@@ -122,9 +122,9 @@
         Map<String, Integer> slotCounts = new TreeMap<>(workerCounts);
         workerCounts.replaceAll((box, count) -> map.workersOf(box).size());
         slotCounts.replaceAll((box, count) -> map.slotsOf(box).size());
-        Map<String, String> workerTransfers = MapPlanner.surplus(workerCounts, self.id(), leaving,
+        Map<String, String> workerTransfers = MapPlanner.planTransfers(workerCounts, self.id(), leaving,
                 map.workersOf(self.id()));
-        Map<Integer, String> slotTransfers = MapPlanner.surplus(slotCounts, self.id(), leaving,
+        Map<Integer, String> slotTransfers = MapPlanner.planTransfers(slotCounts, self.id(), leaving,
                 map.slotsOf(self.id()));
         if (workerTransfers.isEmpty() && slotTransfers.isEmpty())
         {
@@ -223,6 +223,6 @@
     private void resumeRemaining()
     {
         upstreams.uncordonAll();
-        keyTable.setMoving(keyTable.owned(), false);
+        keyTable.setMoving(keyTable.ownedSlots(), false);
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/ResourceApi.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/ResourceApi.java
@@ -25,8 +25,8 @@
 import org.gaugehollow.model.ResultCode;
 import org.gaugehollow.model.TeamSpec;
 import org.gaugehollow.net.HttpExchange;
-import org.gaugehollow.net.HttpMessage;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 import org.gaugehollow.placement.PolicyRegistry;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -57,9 +57,9 @@
     /** Handles {@code /v1/KIND}: lists or watches the resources of a kind. */
     void handleKind(HttpExchange exchange, ResourceKind kind) throws InterruptedException
     {
-        HttpMessage message = exchange.request();
-        requireMethod(message, "GET");
-        if (message.parameter("watch").filter("true"::equals).isPresent())
+        HttpRequest request = exchange.request();
+        requireMethod(request, "GET");
+        if (request.parameter("watch").filter("true"::equals).isPresent())
         {
             watch(exchange, kind);
             return;
@@ -73,15 +73,15 @@
     /** Handles {@code /v1/KIND/NAME}: reads, writes or deletes a resource. */
     void handleResource(HttpExchange exchange, ResourceKind kind, String name) throws InterruptedException
     {
-        HttpMessage message = exchange.request();
+        HttpRequest request = exchange.request();
         Checks.name(name, "name");
-        switch (message.method())
+        switch (request.method())
         {
             case "GET" -> exchange.respond(replyWithETag(OK, requireExisting(kind, name)));
-            case "PUT" -> exchange.respond(put(message, kind, name));
+            case "PUT" -> exchange.respond(put(request, kind, name));
             case "DELETE" -> {
                 ConfigEntry removed = store.delete(StoreKeys.resource(kind, requireUnused(kind, name)),
-                        requiredRevision(message));
+                        requiredRevision(request));
                 config.applyOwn(removed);
                 exchange.respond(HttpReply.json(OK, Map.of("kind", kind.plural(), "name", name,
                         "deletedAtRevision", removed.revision())));
@@ -90,18 +90,18 @@
         }
     }
 
-    private HttpReply put(HttpMessage message, ResourceKind kind, String name) throws InterruptedException
+    private HttpReply put(HttpRequest request, ResourceKind kind, String name) throws InterruptedException
     {
-        Object spec = ActiveConfig.parseSpec(kind, message.body());
+        Object spec = ActiveConfig.parseSpec(kind, request.body());
         checkSpec(kind, name, spec);
-        Optional<Long> expected = parseRevision(message);
+        Optional<Long> expected = parseRevision(request);
         String key = StoreKeys.resource(kind, name);
         if (expected.isEmpty() && config.get(key).isPresent())
         {
             throw new GaugehollowException(ResultCode.REVISION_REQUIRED, "the resource exists at revision "
                     + config.get(key).get().revision() + "; If-Match with this revision is required");
         }
-        JsonNode content = Json.read(message.body(), JsonNode.class, ResultCode.RESOURCE_INVALID);
+        JsonNode content = Json.read(request.body(), JsonNode.class, ResultCode.RESOURCE_INVALID);
         ConfigEntry written = store.put(key, expected, content);
         config.applyOwn(written);
         return replyWithETag(expected.isPresent() ? OK : CREATED, written);
@@ -230,15 +230,15 @@
         return Json.read(entry.envelope(), Envelope.class, ResultCode.STORE_BAD_ANSWER);
     }
 
-    private static Optional<Long> parseRevision(HttpMessage message)
+    private static Optional<Long> parseRevision(HttpRequest request)
     {
-        return message.header(HttpHeaderNames.IF_MATCH.toString())
+        return request.header(HttpHeaderNames.IF_MATCH.toString())
                 .map(tag -> parseNumber(tag.replace("\"", "").trim()));
     }
 
-    private static long requiredRevision(HttpMessage message)
+    private static long requiredRevision(HttpRequest request)
     {
-        return parseRevision(message).orElseThrow(() -> new GaugehollowException(ResultCode.REVISION_REQUIRED,
+        return parseRevision(request).orElseThrow(() -> new GaugehollowException(ResultCode.REVISION_REQUIRED,
                 "If-Match with the revision of the resource is required"));
     }
 
@@ -254,9 +254,9 @@
         }
     }
 
-    static void requireMethod(HttpMessage message, String method)
+    static void requireMethod(HttpRequest request, String method)
     {
-        if (!method.equals(message.method()))
+        if (!method.equals(request.method()))
         {
             throw new GaugehollowException(ResultCode.UNKNOWN_PATH, "expected " + method);
         }
--- a/gaugehollow/src/main/java/org/gaugehollow/job/CellConfig.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/CellConfig.java
@@ -103,7 +103,7 @@
      * @param path the request's path
      * @return the route, if one matches
      */
-    public Optional<QueueRoute> route(String host, String path)
+    public Optional<QueueRoute> findRoute(String host, String path)
     {
         QueueRoute best = null;
         for (QueueRoute route : routes)
--- a/gaugehollow/src/main/java/org/gaugehollow/job/CrashHistory.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/CrashHistory.java
@@ -94,7 +94,7 @@
     }
 
     /** @return the ids of the worker incarnations that are known to have crashed during a run */
-    public Set<String> proven()
+    public Set<String> provenWorkers()
     {
         return crashes.stream().filter(
                 crash -> crash.evidence() == Attribution.AT_START || crash.evidence() == Attribution.LATER)
--- a/gaugehollow/src/main/java/org/gaugehollow/job/Customers.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/Customers.java
@@ -83,7 +83,7 @@
      * @param key a caller's key
      * @return the customer that the key belongs to, if the key is valid
      */
-    public Optional<Customer> ofKey(String key)
+    public Optional<Customer> findByKey(String key)
     {
         return Optional.ofNullable(byKey.get(key));
     }
@@ -92,7 +92,7 @@
      * @param name a customer's name; null for none
      * @return the customer, if it exists in this version
      */
-    public Optional<Customer> named(String name)
+    public Optional<Customer> findByName(String name)
     {
         return Optional.ofNullable(byName.get(name));
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/job/JobKeys.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/job/JobKeys.java
@@ -53,7 +53,7 @@
      * @param id a job's id
      * @return the key of the job's cancellation
      */
-    public static String cancel(String id)
+    public static String cancellation(String id)
     {
         return JOBS + id + CANCEL;
     }
@@ -71,7 +71,7 @@
      * @param key a key under {@link #JOBS}
      * @return the id of the job if this is the key of a job's record
      */
-    public static Optional<String> idOfJob(String key)
+    public static Optional<String> idOfRecordKey(String key)
     {
         return extractId(key, SPEC);
     }
@@ -80,7 +80,7 @@
      * @param key a key under {@link #JOBS}
      * @return the id of the job if this is the key of a cancellation
      */
-    public static Optional<String> idOfCancel(String key)
+    public static Optional<String> idOfCancellationKey(String key)
     {
         return extractId(key, CANCEL);
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeyEntry.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeyEntry.java
@@ -71,7 +71,7 @@
     }
 
     /** @return the record stating that the request was certainly not run */
-    public KeyRecord forgetRecord()
+    public KeyRecord notRunRecord()
     {
         return toRecord(NOT_RUN);
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeyLimits.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeyLimits.java
@@ -7,11 +7,11 @@
 /**
  * Limits of the key records of a box.
  *
- * @param recordMillis the retention time of a record in milliseconds
+ * @param retentionMillis the retention time of a record in milliseconds
  * @param maxSkewMillis the maximum difference between the clocks of callers and boxes in
  *            milliseconds
  * @param maxRecords the maximum number of records for the slots that a box owns
  */
-public record KeyLimits(long recordMillis, long maxSkewMillis, int maxRecords)
+public record KeyLimits(long retentionMillis, long maxSkewMillis, int maxRecords)
 {
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeyOwnership.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeyOwnership.java
@@ -56,8 +56,8 @@
     {
         Optional<AssignmentMap> previous = replicas.applyMap(next);
         List<Integer> assigned = next.slotsOf(self);
-        List<Integer> lost = table.owned().stream().filter(slot -> !assigned.contains(slot)).toList();
-        List<Integer> gained = assigned.stream().filter(slot -> !table.owned().contains(slot)).toList();
+        List<Integer> lost = table.ownedSlots().stream().filter(slot -> !assigned.contains(slot)).toList();
+        List<Integer> gained = assigned.stream().filter(slot -> !table.ownedSlots().contains(slot)).toList();
         lost.forEach(table::removeSlot);
         List<Integer> incomplete = gained.stream().filter(slot -> !acquireSlot(slot, previous, next))
                 .toList();
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeyReplicator.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeyReplicator.java
@@ -129,7 +129,7 @@
         try
         {
             syncedSuccessor = null;
-            CopyCall.Builder call = callBuilder().addAllFull(table.exportSlots(table.owned()));
+            CopyCall.Builder call = callBuilder().addAllFull(table.exportSlots(table.ownedSlots()));
             if (send(target, call))
             {
                 syncedSuccessor = target;
--- a/gaugehollow/src/main/java/org/gaugehollow/keys/KeyTable.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/keys/KeyTable.java
@@ -113,7 +113,7 @@
                     "the issue time of the key is in the future");
         }
         boolean lost = slot.completeSince() > 0 && issuedAt < slot.completeSince() + limits.maxSkewMillis();
-        boolean evicted = issuedAt > 0 && issuedAt < now - limits.recordMillis() + limits.maxSkewMillis();
+        boolean evicted = issuedAt > 0 && issuedAt < now - limits.retentionMillis() + limits.maxSkewMillis();
         if (lost || evicted)
         {
             throw new GaugehollowException(ResultCode.EVIDENCE_LOST,
@@ -152,7 +152,7 @@
     }
 
     /** @return the numbers of the owned slots */
-    public synchronized Set<Integer> owned()
+    public synchronized Set<Integer> ownedSlots()
     {
         return Set.copyOf(slots.keySet());
     }
@@ -226,7 +226,7 @@
     /** Evicts ended records that are older than the retention time. */
     public synchronized void evictExpired()
     {
-        long before = wallMillis.getAsLong() - limits.recordMillis();
+        long before = wallMillis.getAsLong() - limits.retentionMillis();
         slots.values().forEach(slot -> records -= slot.evictBefore(before));
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/AssignmentMaps.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/AssignmentMaps.java
@@ -95,7 +95,7 @@
     {
         for (ConfigEntry entry : applied)
         {
-            if (StoreKeys.isHallMap(entry.name()))
+            if (StoreKeys.isAssignmentMap(entry.name()))
             {
                 applyEntry(entry);
             }
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/MapPlanner.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/MapPlanner.java
@@ -101,7 +101,7 @@
      * @param items the items of the source, in order of transfer
      * @return the target box by transferred item
      */
-    public static <T> Map<T, String> surplus(Map<String, Integer> ownedCounts, String source,
+    public static <T> Map<T, String> planTransfers(Map<String, Integer> ownedCounts, String source,
             boolean transferAll, List<T> items)
     {
         Map<String, Integer> counts = new HashMap<>(ownedCounts);
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/StoreSession.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/StoreSession.java
@@ -88,7 +88,7 @@
     }
 
     /** @return whether the store answered the last call */
-    public boolean storeAnswers()
+    public boolean isStoreAvailable()
     {
         return storeAvailable;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/model/WorkloadSpec.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/WorkloadSpec.java
@@ -18,7 +18,7 @@
         int maxBodyBytes, String path)
 {
     /** The largest body any workload may allow. */
-    public static final int LARGEST_BODY = 1 << 20;
+    public static final int MAX_BODY_BYTES = 1 << 20;
     private static final int DEFAULT_TIMEOUT_MILLIS = 5_000;
     private static final int DEFAULT_BODY = 64 << 10;
     private static final int LONGEST_TIMEOUT_MILLIS = 600_000;
@@ -36,7 +36,7 @@
         maxBodyBytes = maxBodyBytes == 0 ? DEFAULT_BODY : maxBodyBytes;
         path = path == null ? "/run" : path;
         Checks.range(timeoutMillis, 1, LONGEST_TIMEOUT_MILLIS, "timeoutMillis");
-        Checks.range(maxBodyBytes, 1, LARGEST_BODY, "maxBodyBytes");
+        Checks.range(maxBodyBytes, 1, MAX_BODY_BYTES, "maxBodyBytes");
         if (!path.startsWith("/") || path.chars().anyMatch(c -> c <= ' ' || c > '~'))
         {
             throw new GaugehollowException(ResultCode.RESOURCE_INVALID, "path: expected an absolute path");
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpCaller.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpClient.java
@@ -13,7 +13,7 @@
 import io.netty.handler.codec.http.HttpHeaderNames;
 
 /** Sends requests to one HTTP server over pooled connections. Thread-safe. */
-public final class HttpCaller implements AutoCloseable
+public final class HttpClient implements AutoCloseable
 {
     private static final int MAX_RESPONSE_BYTES = 64 << 20;
     private static final int MAX_IDLE_CONNECTIONS = 2;
@@ -26,7 +26,7 @@
      * @param loops the event loops
      * @param target the server's address
      */
-    public HttpCaller(NetLoops loops, InetSocketAddress target)
+    public HttpClient(NetLoops loops, InetSocketAddress target)
     {
         this.loops = loops;
         this.target = target;
@@ -53,7 +53,7 @@
             throws InterruptedException
     {
         int queryStart = path.indexOf('?');
-        HttpMessage request = new HttpMessage(method, queryStart < 0 ? path : path.substring(0, queryStart),
+        HttpRequest request = new HttpRequest(method, queryStart < 0 ? path : path.substring(0, queryStart),
                 queryStart < 0 ? "" : path.substring(queryStart + 1),
                 new DefaultHttpHeaders().set(HttpHeaderNames.CONTENT_TYPE, HttpReply.JSON_TYPE), body);
         return call(request, timeoutMillis);
@@ -67,7 +67,7 @@
      * @return the response
      * @throws InterruptedException if the thread is interrupted
      */
-    public HttpReply call(HttpMessage request, int timeoutMillis) throws InterruptedException
+    public HttpReply call(HttpRequest request, int timeoutMillis) throws InterruptedException
     {
         long deadline = SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
         HttpConnection connection = connections.acquire(timeoutMillis);
@@ -91,7 +91,7 @@
      * @return the response
      * @throws InterruptedException if the thread is interrupted
      */
-    public HttpReply callWithIdleTimeout(HttpMessage request, int idleMillis, int timeoutMillis)
+    public HttpReply callWithIdleTimeout(HttpRequest request, int idleMillis, int timeoutMillis)
             throws InterruptedException
     {
         long deadline = SteadyClock.nanos() + TimeUnit.MILLISECONDS.toNanos(timeoutMillis);
@@ -114,7 +114,7 @@
      * @return the connection, to be closed by the caller
      * @throws InterruptedException if the thread is interrupted
      */
-    public HttpConnection openOwn(int timeoutMillis) throws InterruptedException
+    public HttpConnection openConnection(int timeoutMillis) throws InterruptedException
     {
         return HttpConnection.open(loops, target, timeoutMillis);
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpConnection.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpConnection.java
@@ -78,7 +78,7 @@
             throws InterruptedException
     {
         address = NetAddress.format(target);
-        Bootstrap bootstrap = loops.client().option(ChannelOption.TCP_NODELAY, true)
+        Bootstrap bootstrap = loops.newClientBootstrap().option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, Math.max(1, timeoutMillis))
                 .handler(new ChannelInitializer<Channel>()
                 {
@@ -139,11 +139,11 @@
      *             {@code UPSTREAM_TIMEOUT}, {@code OUTCOME_UNKNOWN} or {@code ANSWER_TOO_LARGE}
      *             otherwise
      */
-    public HttpReply exchange(HttpMessage request, long deadlineNanos, int maxBodyBytes)
+    public HttpReply exchange(HttpRequest request, long deadlineNanos, int maxBodyBytes)
             throws InterruptedException
     {
         send(request);
-        return awaitAnswer(deadlineNanos, maxBodyBytes);
+        return awaitResponse(deadlineNanos, maxBodyBytes);
     }
 
     /**
@@ -157,11 +157,11 @@
      * @throws InterruptedException if the thread is interrupted
      * @throws GaugehollowException as for {@link #exchange}
      */
-    public HttpReply exchangeWithIdleTimeout(HttpMessage request, long idleNanos, long deadlineNanos,
+    public HttpReply exchangeWithIdleTimeout(HttpRequest request, long idleNanos, long deadlineNanos,
             int maxBodyBytes) throws InterruptedException
     {
         send(request);
-        return awaitAnswer(idleNanos, deadlineNanos, maxBodyBytes);
+        return awaitResponse(idleNanos, deadlineNanos, maxBodyBytes);
     }
 
     /**
@@ -176,11 +176,11 @@
      * @throws GaugehollowException {@code NO_RIGHTS} if the condition does not hold, otherwise as for
      *             {@link #exchange}
      */
-    public HttpReply exchangeIf(BooleanSupplier maySend, HttpMessage request, long deadlineNanos,
+    public HttpReply exchangeIf(BooleanSupplier maySend, HttpRequest request, long deadlineNanos,
             int maxBodyBytes) throws InterruptedException
     {
         sendIf(maySend, request);
-        return awaitAnswer(deadlineNanos, maxBodyBytes);
+        return awaitResponse(deadlineNanos, maxBodyBytes);
     }
 
     /**
@@ -192,12 +192,12 @@
      * @return the response
      * @throws InterruptedException if the thread is interrupted
      */
-    public HttpReply awaitAnswer(long deadlineNanos, int maxBodyBytes) throws InterruptedException
+    public HttpReply awaitResponse(long deadlineNanos, int maxBodyBytes) throws InterruptedException
     {
-        return awaitAnswer(Math.max(0, deadlineNanos - SteadyClock.nanos()), deadlineNanos, maxBodyBytes);
+        return awaitResponse(Math.max(0, deadlineNanos - SteadyClock.nanos()), deadlineNanos, maxBodyBytes);
     }
 
-    private HttpReply awaitAnswer(long idleNanos, long deadlineNanos, int maxBodyBytes)
+    private HttpReply awaitResponse(long idleNanos, long deadlineNanos, int maxBodyBytes)
             throws InterruptedException
     {
         busy = true;
@@ -236,13 +236,13 @@
      *
      * @param id the id of the exchange
      */
-    public void setLastExchange(String id)
+    public void setLastExchangeId(String id)
     {
         lastExchangeId = id;
     }
 
     /** @return the id of the last completed exchange, or null */
-    public String lastExchange()
+    public String lastExchangeId()
     {
         return lastExchangeId;
     }
@@ -255,7 +255,7 @@
      * @return the status and headers, with an empty body
      * @throws InterruptedException if the thread is interrupted
      */
-    public HttpReply openStream(HttpMessage request, long deadlineNanos) throws InterruptedException
+    public HttpReply openStream(HttpRequest request, long deadlineNanos) throws InterruptedException
     {
         send(request);
         return readHead(deadlineNanos);
@@ -291,7 +291,7 @@
         return true;
     }
 
-    private void send(HttpMessage request) throws InterruptedException
+    private void send(HttpRequest request) throws InterruptedException
     {
         awaitWritten(channel.writeAndFlush(prepareRequest(request)));
     }
@@ -299,7 +299,7 @@
     /**
      * Evaluates the condition on the event loop, so that nothing runs between the check and the write.
      */
-    private void sendIf(BooleanSupplier maySend, HttpMessage request) throws InterruptedException
+    private void sendIf(BooleanSupplier maySend, HttpRequest request) throws InterruptedException
     {
         FullHttpRequest message = prepareRequest(request);
         Future<Optional<ChannelFuture>> submitted = channel.eventLoop()
@@ -322,7 +322,7 @@
         awaitWritten(submitted.getNow().get());
     }
 
-    private FullHttpRequest prepareRequest(HttpMessage request)
+    private FullHttpRequest prepareRequest(HttpRequest request)
     {
         if (!isReusable())
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpExchange.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpExchange.java
@@ -27,11 +27,11 @@
 public final class HttpExchange
 {
     private final Channel channel;
-    private final HttpMessage request;
+    private final HttpRequest request;
     private final boolean keepAlive;
     private boolean responseStarted;
 
-    HttpExchange(Channel channel, HttpMessage request, boolean keepAlive)
+    HttpExchange(Channel channel, HttpRequest request, boolean keepAlive)
     {
         this.channel = channel;
         this.request = request;
@@ -39,7 +39,7 @@
     }
 
     /** @return the request */
-    public HttpMessage request()
+    public HttpRequest request()
     {
         return request;
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpMessage.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpRequest.java
@@ -19,7 +19,7 @@
  * @param headers the headers
  * @param body the complete body
  */
-public record HttpMessage(String method, String path, String query, HttpHeaders headers, byte[] body)
+public record HttpRequest(String method, String path, String query, HttpHeaders headers, byte[] body)
 {
     /**
      * @param name the name of a query parameter
--- a/gaugehollow/src/main/java/org/gaugehollow/net/HttpServerConnection.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/HttpServerConnection.java
@@ -30,7 +30,7 @@
     private static final int IDLE_SECONDS = 75;
 
     /** A queued request; the message is null if the request could not be decoded. */
-    private record QueuedRequest(HttpMessage message, boolean keepAlive, String error)
+    private record QueuedRequest(HttpRequest message, boolean keepAlive, String error)
     {
         static final QueuedRequest END = new QueuedRequest(null, false, null);
     }
@@ -67,7 +67,7 @@
         }
         String uri = request.uri();
         int queryStart = uri.indexOf('?');
-        HttpMessage message = new HttpMessage(request.method().name(),
+        HttpRequest message = new HttpRequest(request.method().name(),
                 queryStart < 0 ? uri : uri.substring(0, queryStart),
                 queryStart < 0 ? "" : uri.substring(queryStart + 1), request.headers(),
                 ByteBufUtil.getBytes(request.content()));
--- a/gaugehollow/src/main/java/org/gaugehollow/net/NetLoops.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/net/NetLoops.java
@@ -40,7 +40,7 @@
     }
 
     /** @return a new client bootstrap that uses these event loops */
-    public Bootstrap client()
+    public Bootstrap newClientBootstrap()
     {
         Bootstrap bootstrap = new Bootstrap().group(group).channel(NioSocketChannel.class);
         sourceAddress.ifPresent(address -> bootstrap.localAddress(new InetSocketAddress(address, 0)));
--- a/gaugehollow/src/main/java/org/gaugehollow/peer/PeerLink.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/peer/PeerLink.java
@@ -133,7 +133,7 @@
 
     private ChannelFuture connect()
     {
-        return loops.client().option(ChannelOption.TCP_NODELAY, true)
+        return loops.newClientBootstrap().option(ChannelOption.TCP_NODELAY, true)
                 .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, CONNECT_TIMEOUT_MILLIS)
                 .handler(new ChannelInitializer<Channel>()
                 {
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PlacementEngine.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PlacementEngine.java
@@ -58,7 +58,7 @@
      *
      * @param newPolicies the new policies
      */
-    public void usePolicies(PolicyAssignments newPolicies)
+    public void setPolicies(PolicyAssignments newPolicies)
     {
         lock.lock();
         try
@@ -228,7 +228,7 @@
     }
 
     /** @return the sum of the free resources of all accepting workers */
-    public ComputeResources free()
+    public ComputeResources freeCapacity()
     {
         lock.lock();
         try
@@ -247,7 +247,7 @@
     }
 
     /** @return the number of waiting tasks */
-    public int waiting()
+    public int waitingCount()
     {
         lock.lock();
         try
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/EtcdStore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/EtcdStore.java
@@ -15,10 +15,10 @@
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.net.HttpCaller;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.HttpConnection;
-import org.gaugehollow.net.HttpMessage;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 import org.gaugehollow.time.SteadyClock;
 
 import com.fasterxml.jackson.databind.JsonNode;
@@ -33,20 +33,20 @@
     private static final int OK = 200;
     private static final int MILLIS_PER_SECOND = 1_000;
 
-    private final HttpCaller caller;
+    private final HttpClient client;
     private final StoreBudget budget;
     private final Metrics metrics;
     private final int timeoutMillis;
 
     /**
-     * @param caller the HTTP client of the store
+     * @param client the HTTP client of the store
      * @param budget limits the call rate of this box
      * @param metrics counts the calls
      * @param timeoutMillis timeout of one call, in milliseconds
      */
-    public EtcdStore(HttpCaller caller, StoreBudget budget, Metrics metrics, int timeoutMillis)
+    public EtcdStore(HttpClient client, StoreBudget budget, Metrics metrics, int timeoutMillis)
     {
-        this.caller = caller;
+        this.client = client;
         this.budget = budget;
         this.metrics = metrics;
         this.timeoutMillis = timeoutMillis;
@@ -141,9 +141,9 @@
                 .put("range_end", encode(rangeEnd(prefix)))
                 .put("start_revision", Long.toString(fromRevision));
         HttpConnection connection = openConnection();
-        HttpMessage message = new HttpMessage("POST", "/v3/watch", "", new DefaultHttpHeaders(),
+        HttpRequest httpRequest = new HttpRequest("POST", "/v3/watch", "", new DefaultHttpHeaders(),
                 Json.write(request));
-        HttpReply head = connection.openStream(message, deadline());
+        HttpReply head = connection.openStream(httpRequest, deadline());
         metrics.storeCalls().labelValues("watch", head.status() == OK ? "ok" : "refused").inc();
         if (head.status() != OK)
         {
@@ -158,7 +158,7 @@
     {
         try
         {
-            return caller.openOwn(timeoutMillis);
+            return client.openConnection(timeoutMillis);
         }
         catch (GaugehollowException e)
         {
@@ -172,7 +172,7 @@
         HttpReply reply;
         try
         {
-            reply = caller.call("POST", path, Json.write(request), timeoutMillis);
+            reply = client.call("POST", path, Json.write(request), timeoutMillis);
         }
         catch (GaugehollowException e)
         {
@@ -249,6 +249,6 @@
     @Override
     public void close()
     {
-        caller.close();
+        client.close();
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/HttpWorkerRoster.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/HttpWorkerRoster.java
@@ -12,7 +12,7 @@
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
 import org.gaugehollow.model.Worker;
-import org.gaugehollow.net.HttpCaller;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.HttpReply;
 import org.gaugehollow.net.NetAddress;
 
@@ -27,18 +27,18 @@
 {
     private static final int OK = 200;
 
-    private final HttpCaller caller;
+    private final HttpClient client;
     private final String path;
     private final int timeoutMillis;
 
     /**
-     * @param caller the HTTP client of the list
+     * @param client the HTTP client of the list
      * @param path the path of the list
      * @param timeoutMillis timeout of one read, in milliseconds
      */
-    public HttpWorkerRoster(HttpCaller caller, String path, int timeoutMillis)
+    public HttpWorkerRoster(HttpClient client, String path, int timeoutMillis)
     {
-        this.caller = caller;
+        this.client = client;
         this.path = path;
         this.timeoutMillis = timeoutMillis;
     }
@@ -49,7 +49,7 @@
         HttpReply reply;
         try
         {
-            reply = caller.call("GET", path, new byte[0], timeoutMillis);
+            reply = client.call("GET", path, new byte[0], timeoutMillis);
         }
         catch (GaugehollowException e)
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/CrashGuard.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/CrashGuard.java
@@ -214,7 +214,7 @@
     /** Marks the crashes of a confirmed poison task as explained for all other tasks. */
     void confirmPoison(Task task)
     {
-        Set<String> crashedWorkers = task.crashes().proven();
+        Set<String> crashedWorkers = task.crashes().provenWorkers();
         for (Task other : trackedTasks)
         {
             if (other != task)
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/JobReader.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/JobReader.java
@@ -139,8 +139,9 @@
      */
     private void applyValues(List<StoredValue> values)
     {
-        values.forEach(value -> JobKeys.idOfCancel(value.key()).ifPresent(id -> cancel(id, value.value())));
-        values.forEach(value -> JobKeys.idOfJob(value.key())
+        values.forEach(
+                value -> JobKeys.idOfCancellationKey(value.key()).ifPresent(id -> cancel(id, value.value())));
+        values.forEach(value -> JobKeys.idOfRecordKey(value.key())
                 .ifPresent(id -> accept(id, value.value(), value.modRevision())));
     }
 
@@ -155,8 +156,8 @@
     @Override
     public void onPut(String key, byte[] value, long revision)
     {
-        JobKeys.idOfJob(key).ifPresent(id -> accept(id, value, revision));
-        JobKeys.idOfCancel(key).ifPresent(id -> cancel(id, value));
+        JobKeys.idOfRecordKey(key).ifPresent(id -> accept(id, value, revision));
+        JobKeys.idOfCancellationKey(key).ifPresent(id -> cancel(id, value));
     }
 
     private void accept(String id, byte[] value, long revision)
@@ -197,8 +198,8 @@
     {
         synchronized (term.cellState())
         {
-            JobKeys.idOfJob(key).ifPresent(term.cellState()::onRecordRemoved);
-            JobKeys.idOfCancel(key).ifPresent(term.cellState()::onRecordRemoved);
+            JobKeys.idOfRecordKey(key).ifPresent(term.cellState()::onRecordRemoved);
+            JobKeys.idOfCancellationKey(key).ifPresent(term.cellState()::onRecordRemoved);
         }
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/JobRetention.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/JobRetention.java
@@ -73,7 +73,7 @@
         StoreTransaction removal = new StoreTransaction().require(JobKeys.OWNER, owner.ownerRevision());
         for (String id : ids)
         {
-            removal.delete(JobKeys.job(id)).delete(JobKeys.cancel(id)).delete(JobKeys.progress(id));
+            removal.delete(JobKeys.job(id)).delete(JobKeys.cancellation(id)).delete(JobKeys.progress(id));
         }
         try
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/QuotaUsage.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/QuotaUsage.java
@@ -97,8 +97,8 @@
 
     private Account accountOf(String customer)
     {
-        return accounts.computeIfAbsent(customer,
-                name -> new Account(customers.named(name).map(Customer::quota).orElse(Customer.UNLIMITED)));
+        return accounts.computeIfAbsent(customer, name -> new Account(
+                customers.findByName(name).map(Customer::quota).orElse(Customer.UNLIMITED)));
     }
 
     /**
--- a/gaugehollow/src/main/java/org/gaugehollow/schedule/WeightLimiter.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/schedule/WeightLimiter.java
@@ -40,7 +40,7 @@
                 .sorted(Comparator.comparingLong(job -> job.record().acceptedMillis())).toList();
         for (Job job : earliestFirst)
         {
-            customers.named(job.record().customer()).filter(customer -> !job.isOpenEnded())
+            customers.findByName(job.record().customer()).filter(customer -> !job.isOpenEnded())
                     .ifPresent(customer -> job.setBeyondWeight(!tryAcquire(customer, job)));
         }
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamClient.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/upstream/UpstreamClient.java
@@ -14,11 +14,11 @@
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.net.HttpCaller;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.HttpConnection;
 import org.gaugehollow.net.HttpConnectionPool;
-import org.gaugehollow.net.HttpMessage;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 import org.gaugehollow.net.NetLoops;
 import org.gaugehollow.time.SteadyClock;
 
@@ -42,7 +42,7 @@
 
     private final String worker;
     private final EventLog events;
-    private final HttpCaller control;
+    private final HttpClient control;
     private final HttpConnectionPool connections;
 
     /**
@@ -57,7 +57,7 @@
     {
         this.worker = worker;
         this.events = events;
-        this.control = new HttpCaller(loops, target);
+        this.control = new HttpClient(loops, target);
         this.connections = new HttpConnectionPool(loops, target, MAX_IDLE_CONNECTIONS);
     }
 
@@ -91,10 +91,10 @@
                     MAX_ANSWER_BYTES);
             if (isDuplicateAnswer(connection, request, reply))
             {
-                reply = connection.awaitAnswer(deadlineNanos, MAX_ANSWER_BYTES);
+                reply = connection.awaitResponse(deadlineNanos, MAX_ANSWER_BYTES);
             }
             reusable = checkTaskId(request, reply);
-            connection.setLastExchange(request.task());
+            connection.setLastExchangeId(request.task());
             checkNotRejected(reply);
             return reply;
         }
@@ -141,12 +141,12 @@
         if (reply.status() != OK)
         {
             throw new GaugehollowException(ResultCode.UPSTREAM_REFUSED,
-                    worker + " answered with status " + reply.status());
+                    worker + " responded with status " + reply.status());
         }
         return Json.read(reply.body(), UpstreamReport.class, ResultCode.UPSTREAM_REFUSED);
     }
 
-    private static HttpMessage toMessage(UpstreamRequest request, long epoch)
+    private static HttpRequest toMessage(UpstreamRequest request, long epoch)
     {
         HttpHeaders headers = new DefaultHttpHeaders();
         headers.set(UpstreamHeaders.TASK, request.task());
@@ -158,7 +158,7 @@
         {
             headers.set(UpstreamHeaders.KEY, request.key());
         }
-        return new HttpMessage("POST", request.path(), "", headers, request.body());
+        return new HttpRequest("POST", request.path(), "", headers, request.body());
     }
 
     private static String formatNeeds(ComputeResources needs)
@@ -174,7 +174,7 @@
     private boolean isDuplicateAnswer(HttpConnection connection, UpstreamRequest request, HttpReply reply)
     {
         String answeredTask = reply.headers().get(UpstreamHeaders.TASK);
-        boolean duplicate = answeredTask != null && answeredTask.equals(connection.lastExchange())
+        boolean duplicate = answeredTask != null && answeredTask.equals(connection.lastExchangeId())
                 && !answeredTask.equals(request.task());
         if (duplicate)
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/HeartbeatReply.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/HeartbeatReply.java
@@ -48,7 +48,7 @@
      * @param result reason for the missing lists
      * @return a reply with empty lists
      */
-    public static HeartbeatReply refused(CommandResult result)
+    public static HeartbeatReply rejected(CommandResult result)
     {
         return new HeartbeatReply(result, 0, List.of(), List.of());
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/HeartbeatRequest.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/HeartbeatRequest.java
@@ -9,11 +9,11 @@
  *
  * @param fence fencing token of the owner
  * @param lastAckedEnd number of the last acknowledged run end
- * @param deadline expiry of the lease on the worker's clock in milliseconds; 0 to leave it
+ * @param deadlineMillis expiry of the lease on the worker's clock in milliseconds; 0 to leave it
  *            unchanged
  * @param waitMillis maximum time in milliseconds that the worker delays its reply to await a run
  *            end
  */
-public record HeartbeatRequest(long fence, long lastAckedEnd, long deadline, int waitMillis)
+public record HeartbeatRequest(long fence, long lastAckedEnd, long deadlineMillis, int waitMillis)
 {
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/worker/StartCommand.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/worker/StartCommand.java
@@ -10,12 +10,12 @@
  * @param task full name of the task
  * @param run number of the run
  * @param spec specification text passed to the task
- * @param deadline expiry of the lease on the worker's clock in milliseconds
+ * @param deadlineMillis expiry of the lease on the worker's clock in milliseconds
  * @param fence fencing token of the owner
  * @param checkpoint saved state to resume from, or null
  * @param ticket ticket of the advice service, or null
  */
-public record StartCommand(String task, int run, String spec, long deadline, long fence, String checkpoint,
-        String ticket)
+public record StartCommand(String task, int run, String spec, long deadlineMillis, long fence,
+        String checkpoint, String ticket)
 {
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/box/CallerRelayTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/CallerRelayTest.java
@@ -22,9 +22,9 @@
 import org.gaugehollow.event.Metrics;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.net.HttpCaller;
-import org.gaugehollow.net.HttpMessage;
+import org.gaugehollow.net.HttpClient;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 import org.gaugehollow.net.HttpServer;
 import org.gaugehollow.net.NetLoops;
 import org.gaugehollow.peer.PeerLink;
@@ -36,7 +36,7 @@
 /** Guards against failing requests that a peer could answer, and against wrong outcome reports. */
 class CallerRelayTest
 {
-    private static final HttpMessage REQUEST = new HttpMessage("POST", "/queue/00000000000000aa", "a=b",
+    private static final HttpRequest REQUEST = new HttpRequest("POST", "/queue/00000000000000aa", "a=b",
             new DefaultHttpHeaders().set("Host", "queue.example").set("Content-Type", "application/json"),
             "{}".getBytes(StandardCharsets.UTF_8));
 
@@ -159,7 +159,7 @@
             assertThat(reply.status()).isEqualTo(200);
             assertThat(new String(reply.body(), StandardCharsets.UTF_8))
                     .isEqualTo("POST /queue/00000000000000aa?a=b queue.example {}");
-            HttpMessage unknown = new HttpMessage("DELETE", "/queue/x", "", new DefaultHttpHeaders(),
+            HttpRequest unknown = new HttpRequest("DELETE", "/queue/x", "", new DefaultHttpHeaders(),
                     new byte[0]);
             assertThat(assertThrows(GaugehollowException.class, () -> new PeerRelay(link).answer(unknown))
                     .code()).isEqualTo(ResultCode.UNKNOWN_JOB);
@@ -176,9 +176,9 @@
         NetLoops loops = new NetLoops(Optional.empty());
         try (HttpServer server = new HttpServer(loops, new InetSocketAddress("127.0.0.1", 0), 1_000, events,
                 relay(rejecting(ResultCode.STORE_UNAVAILABLE)));
-                HttpCaller caller = new HttpCaller(loops, server.address()))
+                HttpClient client = new HttpClient(loops, server.address()))
         {
-            HttpReply reply = caller.call("POST", "/queue/00000000000000aa", new byte[0], 5_000);
+            HttpReply reply = client.call("POST", "/queue/00000000000000aa", new byte[0], 5_000);
             assertThat(reply.status()).isEqualTo(503);
             assertThat(reply.headers().get("Connection")).isEqualTo("close");
             assertThat(reply.headers().get("Retry-After")).isNotNull();
--- a/gaugehollow/src/test/java/org/gaugehollow/box/FreshConfigServiceTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/FreshConfigServiceTest.java
@@ -16,8 +16,8 @@
 import org.gaugehollow.event.HybridClock;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.net.HttpMessage;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 import org.gaugehollow.platform.FakeStore;
 import org.gaugehollow.platform.KeyFollower;
 import org.gaugehollow.platform.MonitoredStore;
@@ -29,7 +29,7 @@
 /** Guards against answering requests from a stale configuration during and after a store outage. */
 class FreshConfigServiceTest
 {
-    private static final HttpMessage REQUEST = new HttpMessage("GET", "/q/", "", new DefaultHttpHeaders(),
+    private static final HttpRequest REQUEST = new HttpRequest("GET", "/q/", "", new DefaultHttpHeaders(),
             new byte[0]);
     private static final String KEY = "config";
 
--- a/gaugehollow/src/test/java/org/gaugehollow/box/OutcomeAcrossBoxesTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/OutcomeAcrossBoxesTest.java
@@ -30,7 +30,7 @@
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.Outcome;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.net.HttpMessage;
+import org.gaugehollow.net.HttpRequest;
 import org.gaugehollow.platform.FakeStore;
 import org.gaugehollow.platform.MonitoredStore;
 import org.gaugehollow.platform.StoreListing;
@@ -51,7 +51,7 @@
     private static final QueueSpec QUEUE = new QueueSpec("urgent", "service", 0, 2, 250, 1.5, null);
     private static final JobSpec JOB = new JobSpec("text", List.of(new StepSpec(1, 1, 1, 0, 1, List.of(),
             false, false, false, null, null, 0, false, false, null, 0, false, 0)), 0, 0, 0);
-    private static final HttpMessage REQUEST = new HttpMessage("POST", "/queue/" + ID, "",
+    private static final HttpRequest REQUEST = new HttpRequest("POST", "/queue/" + ID, "",
             new DefaultHttpHeaders(), "{}".getBytes(StandardCharsets.UTF_8));
 
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
@@ -68,7 +68,8 @@
         {
             if (rejecting)
             {
-                throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "the store answered 503");
+                throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE,
+                        "the store responded with status 503");
             }
             calls++;
         }
--- a/gaugehollow/src/test/java/org/gaugehollow/box/PeerFailureTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/PeerFailureTest.java
@@ -24,8 +24,8 @@
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.Outcome;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.net.HttpMessage;
 import org.gaugehollow.net.HttpReply;
+import org.gaugehollow.net.HttpRequest;
 import org.gaugehollow.net.NetLoops;
 import org.gaugehollow.peer.PeerLink;
 import org.gaugehollow.peer.PeerServer;
@@ -75,7 +75,7 @@
         {
             throw new GaugehollowException(ResultCode.STORE_UNAVAILABLE, "own");
         }, () -> Map.of("peer", new PeerRelay(link)), events, SteadyClock::nanos);
-        HttpMessage request = new HttpMessage("POST", "/queue/job", "", new DefaultHttpHeaders(),
+        HttpRequest request = new HttpRequest("POST", "/queue/job", "", new DefaultHttpHeaders(),
                 new byte[0]);
         return assertThrows(GaugehollowException.class, () -> relay.answer(request)).code();
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/box/RejectedWriteTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/box/RejectedWriteTest.java
@@ -94,7 +94,7 @@
                 () -> box.cancel(JobScope.of(QUEUE), ID, deadlineIn(3_000)));
         store.setDown(false);
         store.deliverHeldWrites();
-        assertThat(store.get(JobKeys.cancel(ID))).isPresent();
+        assertThat(store.get(JobKeys.cancellation(ID))).isPresent();
         assertThat(failure.code()).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
     }
 
--- a/gaugehollow/src/test/java/org/gaugehollow/entry/UpstreamManagerTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/entry/UpstreamManagerTest.java
@@ -91,7 +91,7 @@
         listWorker(1, SLOTS);
         manager = new UpstreamManager(BOX, assignmentMaps, roster, engine, rights, loops, supervisor, events);
         manager.reconcile();
-        await(() -> engine.free().slots() == SLOTS);
+        await(() -> engine.freeCapacity().slots() == SLOTS);
     }
 
     @AfterEach
@@ -197,12 +197,12 @@
         startTask("before");
         manager.cordon(List.of(WORKER));
         assertThat(manager.upstream(WORKER).isPresent()).isFalse();
-        assertThat(engine.free().slots()).isEqualTo(0);
+        assertThat(engine.freeCapacity().slots()).isEqualTo(0);
         manager.uncordonAll();
-        await(() -> engine.free().slots() > 0);
-        assertThat(engine.free().slots()).isEqualTo(SLOTS - 1);
+        await(() -> engine.freeCapacity().slots() > 0);
+        assertThat(engine.freeCapacity().slots()).isEqualTo(SLOTS - 1);
         finishTasks.countDown();
-        await(() -> engine.free().slots() == SLOTS);
+        await(() -> engine.freeCapacity().slots() == SLOTS);
     }
 
     @Test
@@ -211,10 +211,10 @@
         startTask("before");
         listWorker(2, SLOTS + 2);
         manager.reconcile();
-        await(() -> engine.free().slots() > SLOTS - 1);
-        assertThat(engine.free().slots()).isEqualTo(SLOTS + 2 - 1);
+        await(() -> engine.freeCapacity().slots() > SLOTS - 1);
+        assertThat(engine.freeCapacity().slots()).isEqualTo(SLOTS + 2 - 1);
         finishTasks.countDown();
-        await(() -> engine.free().slots() == SLOTS + 2);
+        await(() -> engine.freeCapacity().slots() == SLOTS + 2);
     }
 
     @Test
--- a/gaugehollow/src/test/java/org/gaugehollow/job/CrashHistoryTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/job/CrashHistoryTest.java
@@ -39,7 +39,7 @@
     @Test
     void provenContainsOnlyCrashesDuringARun()
     {
-        assertThat(history.proven()).containsExactly("w1", "w3", "w4");
+        assertThat(history.provenWorkers()).containsExactly("w1", "w3", "w4");
     }
 
     @Test
--- a/gaugehollow/src/test/java/org/gaugehollow/keys/KeyTableTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/keys/KeyTableTest.java
@@ -117,7 +117,7 @@
     {
         ownAllSlots(0);
         assertThat(table.register("t", "k", "goal", NOW, "task-1").first()).isTrue();
-        table.setMoving(table.owned(), true);
+        table.setMoving(table.ownedSlots(), true);
         assertThat(table.register("t", "k", "goal", NOW, "task-2").first()).isFalse();
         assertThat(refusal("k2", NOW)).isEqualTo(ResultCode.KEY_MOVING);
     }
@@ -154,7 +154,7 @@
             {
                 owner.entries().remove(entry.name());
                 running.remove(key);
-                replica.apply(entry.forgetRecord());
+                replica.apply(entry.notRunRecord());
             }
         }
         assertThat(new ArrayList<>(replica.toMessage().getRecordsList()))
--- a/gaugehollow/src/test/java/org/gaugehollow/membership/MapPlannerTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/membership/MapPlannerTest.java
@@ -94,7 +94,7 @@
         }
         counts.put("b0", owned);
         List<Integer> slots = IntStream.range(0, owned).boxed().toList();
-        Map<Integer, String> targets = MapPlanner.surplus(counts, "b0", false, slots);
+        Map<Integer, String> targets = MapPlanner.planTransfers(counts, "b0", false, slots);
         targets.forEach((slot, box) ->
         {
             counts.merge("b0", -1, Integer::sum);
--- a/gaugehollow/src/test/java/org/gaugehollow/net/HttpCallerOutcomeTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/net/HttpClientOutcomeTest.java
@@ -25,7 +25,7 @@
  * Guards against failed calls that are reported as not sent although the server may have handled
  * them.
  */
-class HttpCallerOutcomeTest
+class HttpClientOutcomeTest
 {
     private static final int TIMEOUT_MILLIS = 3_000;
     private static final int MAX_BODY_BYTES = 1_000;
@@ -39,7 +39,7 @@
     private final CountDownLatch proceed = new CountDownLatch(1);
     private final HttpServer server = new HttpServer(serverLoops, new InetSocketAddress("127.0.0.1", 0),
             MAX_BODY_BYTES, events, this::handle);
-    private final HttpCaller caller = new HttpCaller(loops, server.address());
+    private final HttpClient client = new HttpClient(loops, server.address());
 
     private void handle(HttpExchange exchange) throws InterruptedException
     {
@@ -65,7 +65,7 @@
     void close()
     {
         proceed.countDown();
-        caller.close();
+        client.close();
         loops.close();
         server.close();
         serverLoops.close();
@@ -74,7 +74,7 @@
     private ResultCode failureCodeOf(String path)
     {
         return assertThrows(GaugehollowException.class,
-                () -> caller.call("POST", path, NO_BODY, TIMEOUT_MILLIS)).code();
+                () -> client.call("POST", path, NO_BODY, TIMEOUT_MILLIS)).code();
     }
 
     @Test
@@ -100,7 +100,7 @@
     @Test
     void aCallAfterTheEventLoopsCloseIsNotSent() throws InterruptedException
     {
-        caller.call("POST", "/", NO_BODY, TIMEOUT_MILLIS);
+        client.call("POST", "/", NO_BODY, TIMEOUT_MILLIS);
         loops.close();
         assertThat(failureCodeOf("/")).isEqualTo(ResultCode.UPSTREAM_REFUSED);
         assertThat(handled.get()).isEqualTo(1);
@@ -109,7 +109,7 @@
     @Test
     void aCallHasAnUnknownOutcomeWhenAReusedConnectionIsLost() throws InterruptedException
     {
-        caller.call("POST", "/", NO_BODY, TIMEOUT_MILLIS);
+        client.call("POST", "/", NO_BODY, TIMEOUT_MILLIS);
         assertThat(failureCodeOf("/cut")).isEqualTo(ResultCode.OUTCOME_UNKNOWN);
         assertThat(handled.get()).isEqualTo(2);
     }
@@ -122,7 +122,7 @@
         {
             try
             {
-                caller.call("POST", "/held", NO_BODY, TIMEOUT_MILLIS);
+                client.call("POST", "/held", NO_BODY, TIMEOUT_MILLIS);
             }
             catch (InterruptedException e)
             {
--- a/gaugehollow/src/test/java/org/gaugehollow/net/HttpConnectionTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/net/HttpConnectionTest.java
@@ -55,7 +55,7 @@
 
     private static String outcome(HttpConnection connection)
     {
-        HttpMessage request = new HttpMessage("GET", "/", "", new DefaultHttpHeaders(), new byte[0]);
+        HttpRequest request = new HttpRequest("GET", "/", "", new DefaultHttpHeaders(), new byte[0]);
         try
         {
             connection.exchange(request, SteadyClock.nanos() + TimeUnit.SECONDS.toNanos(10),
@@ -109,14 +109,14 @@
     {
         NetLoops loops = new NetLoops(Optional.empty());
         try (ServerSocket server = new ServerSocket(0, 1, InetAddress.getByName("127.0.0.1"));
-                HttpCaller caller = new HttpCaller(loops, (InetSocketAddress) server.getLocalSocketAddress()))
+                HttpClient client = new HttpClient(loops, (InetSocketAddress) server.getLocalSocketAddress()))
         {
             Thread sender = sendSlowly(server, bytes);
-            HttpMessage request = new HttpMessage("GET", "/", "", new DefaultHttpHeaders(), new byte[0]);
+            HttpRequest request = new HttpRequest("GET", "/", "", new DefaultHttpHeaders(), new byte[0]);
             String outcome;
             try
             {
-                outcome = new String(caller.callWithIdleTimeout(request, IDLE_MILLIS, TOTAL_MILLIS).body(),
+                outcome = new String(client.callWithIdleTimeout(request, IDLE_MILLIS, TOTAL_MILLIS).body(),
                         StandardCharsets.US_ASCII);
             }
             catch (GaugehollowException e)
--- a/gaugehollow/src/test/java/org/gaugehollow/net/HttpServerTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/net/HttpServerTest.java
@@ -77,9 +77,9 @@
 
     private static HttpReply post(String path) throws InterruptedException
     {
-        try (HttpCaller caller = new HttpCaller(loops, server.address()))
+        try (HttpClient client = new HttpClient(loops, server.address()))
         {
-            return caller.call(new HttpMessage("POST", path, "", new DefaultHttpHeaders(), new byte[]{'x'}),
+            return client.call(new HttpRequest("POST", path, "", new DefaultHttpHeaders(), new byte[]{'x'}),
                     5_000);
         }
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/placement/PlacementEngineTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/placement/PlacementEngineTest.java
@@ -108,7 +108,7 @@
         engine.putWorker("w1", 3, WORKER, ONE_SLOT, true);
         engine.release(old);
         engine.release(old);
-        assertThat(engine.free().slots()).isEqualTo(3);
+        assertThat(engine.freeCapacity().slots()).isEqualTo(3);
     }
 
     @Test
@@ -220,7 +220,7 @@
         String[] types = {"packing-first", "round-robin", "waiting-first", "random"};
         for (int i = 0; i < 20; i++)
         {
-            engine.usePolicies(assignments(types[i % types.length]));
+            engine.setPolicies(assignments(types[i % types.length]));
             assertThat(waiting.get(i).isDone()).isFalse();
             engine.release(running);
             running = waiting.get(i).get(10, TimeUnit.SECONDS);
@@ -234,7 +234,7 @@
         GaugehollowException timeout = assertThrows(GaugehollowException.class,
                 () -> engine.place(demand(TaskClass.URGENT, "a", 1, 0), SteadyClock.nanos() + 1_000_000));
         assertThat(timeout.code()).isEqualTo(ResultCode.NO_ROOM);
-        assertThat(engine.waiting()).isEqualTo(0);
+        assertThat(engine.waitingCount()).isEqualTo(0);
     }
 
     @Test
--- a/gaugehollow/src/test/java/org/gaugehollow/platform/FakeStore.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/platform/FakeStore.java
@@ -86,7 +86,7 @@
     }
 
     /** @param value whether watches report no changes although the store responds */
-    public synchronized void silenceWatches(boolean value)
+    public synchronized void suppressWatches(boolean value)
     {
         watchesSuppressed = value;
         notifyAll();
@@ -112,21 +112,21 @@
     /**
      * @param prefix commits that write a key with this prefix fail without being applied; null for none
      */
-    public synchronized void loseWritesOf(String prefix)
+    public synchronized void loseWritesTo(String prefix)
     {
         rejectedPrefix = prefix;
     }
 
     public void afterNextCommit(Hook hook)
     {
-        afterNextCommitOf("", hook);
+        afterNextCommitTo("", hook);
     }
 
     /**
      * @param prefix the prefix of a key
      * @param hook runs directly after the next commit that writes such a key
      */
-    public synchronized void afterNextCommitOf(String prefix, Hook hook)
+    public synchronized void afterNextCommitTo(String prefix, Hook hook)
     {
         hookPrefix = prefix;
         commitHook = hook;
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/CancelledRunsTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/CancelledRunsTest.java
@@ -80,7 +80,8 @@
 
     private void cancel() throws InterruptedException
     {
-        platform.store().commit(new StoreTransaction().put(JobKeys.cancel(TestJobs.ID), new byte[]{'1'}));
+        platform.store()
+                .commit(new StoreTransaction().put(JobKeys.cancellation(TestJobs.ID), new byte[]{'1'}));
     }
 
     /** Stores the progress of an earlier owner; the worker is null if the task has no run. */
@@ -331,7 +332,7 @@
         FakeWorker worker = platform.addWorker("w1");
         startTerm("box");
         awaitNextHeartbeat(worker);
-        platform.fakeStore().silenceWatches(true);
+        platform.fakeStore().suppressWatches(true);
         accept();
         cancel();
         term.term().onJobWritten(TestJobs.ID);
@@ -360,7 +361,7 @@
         startTerm("box");
         accept();
         assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> worker.isRunning(TASK))).isTrue();
-        platform.fakeStore().silenceWatches(true);
+        platform.fakeStore().suppressWatches(true);
         cancel();
         term.term().onJobCancelled(TestJobs.ID);
         assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> !worker.isRunning(TASK))).isTrue();
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/CrashGuardTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/CrashGuardTest.java
@@ -106,7 +106,7 @@
         assertThat(task.step().job().state()).isEqualTo(JobState.RUNNING);
         Effects effects = startAndLoseWorker(WorkerLossCause.CRASHED, 0);
         assertThat(effects.poisonTasks()).hasSize(1);
-        assertThat(effects.poisonTasks().getFirst().crashes().proven()).containsExactly("w1", "w2");
+        assertThat(effects.poisonTasks().getFirst().crashes().provenWorkers()).containsExactly("w1", "w2");
         assertThat(task.step().job().state()).isEqualTo(JobState.FAILED);
     }
 
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/ExpiringLeasesTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/ExpiringLeasesTest.java
@@ -109,12 +109,12 @@
     {
         first.setUnresponsive(true);
         assertThat(TestJobs.waitUntil(MAX_RECORD_MILLIS, () -> isRecorded("w1"))).isTrue();
-        platform.fakeStore().loseWritesOf(JobKeys.EXPIRING_LEASES);
+        platform.fakeStore().loseWritesTo(JobKeys.EXPIRING_LEASES);
         long deadline = first.newestDeadline();
         first.setUnresponsive(false);
         assertThat(TestJobs.waitUntil(2_000, () -> first.newestDeadline() > deadline)).isFalse();
         assertThat(isRecorded("w1")).isTrue();
-        platform.fakeStore().loseWritesOf(null);
+        platform.fakeStore().loseWritesTo(null);
         assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> first.newestDeadline() > deadline)).isTrue();
         assertThat(isRecorded("w1")).isFalse();
         assertThat(first.isRunning(TASK)).isTrue();
@@ -157,14 +157,14 @@
     @Test
     void decidedStartIsDroppedIfWorkerIsRecordedMeanwhile() throws InterruptedException
     {
-        platform.fakeStore().loseWritesOf(JobKeys.PROGRESS);
+        platform.fakeStore().loseWritesTo(JobKeys.PROGRESS);
         String other = "00000000000000bb";
         platform.accept(TestJobs.job(other, TestJobs.step(1, 1_000, List.of())));
         Thread.sleep(PLACEMENT_MILLIS);
         first.setUnresponsive(true);
         assertThat(TestJobs.waitUntil(MAX_RECORD_MILLIS, () -> isRecorded("w1"))).isTrue();
         int starts = first.startCount();
-        platform.fakeStore().loseWritesOf(null);
+        platform.fakeStore().loseWritesTo(null);
         assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> first.startCount() > starts)).isFalse();
         FakeWorker second = platform.addWorker("w2");
         assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> second.isRunning(other + ".0.0.0"))).isTrue();
@@ -177,7 +177,7 @@
     @Test
     void workerThatRecoversBeforeItsRecordIsWrittenIsUsedAgain() throws InterruptedException
     {
-        platform.fakeStore().loseWritesOf(JobKeys.EXPIRING_LEASES);
+        platform.fakeStore().loseWritesTo(JobKeys.EXPIRING_LEASES);
         first.setUnresponsive(true);
         int heartbeats = first.heartbeatCount();
         assertThat(TestJobs.waitUntil(MAX_RECORD_MILLIS,
@@ -185,7 +185,7 @@
         first.setUnresponsive(false);
         Thread.sleep(PLACEMENT_MILLIS);
         long deadline = first.newestDeadline();
-        platform.fakeStore().loseWritesOf(null);
+        platform.fakeStore().loseWritesTo(null);
         assertThat(TestJobs.waitUntil(TIMEOUT_MILLIS, () -> first.newestDeadline() > deadline)).isTrue();
         assertThat(isRecorded("w1")).isFalse();
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/FakeWorker.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/FakeWorker.java
@@ -350,16 +350,16 @@
             throws InterruptedException
     {
         heartbeatCount++;
-        newestDeadline = Math.max(newestDeadline, request.deadline());
+        newestDeadline = Math.max(newestDeadline, request.deadlineMillis());
         if (unresponsive)
         {
             wait(timeoutMillis);
-            return HeartbeatReply.refused(CommandResult.UNKNOWN);
+            return HeartbeatReply.rejected(CommandResult.UNKNOWN);
         }
         CommandResult checked = checkCall(request.fence());
         if (checked != CommandResult.DONE)
         {
-            return HeartbeatReply.refused(checked);
+            return HeartbeatReply.rejected(checked);
         }
         ends.removeIf(end -> end.number() <= request.lastAckedEnd());
         if (ends.isEmpty() && request.waitMillis() > 0)
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerTermTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/OwnerTermTest.java
@@ -96,7 +96,8 @@
 
     private void cancelJob() throws InterruptedException
     {
-        platform.store().commit(new StoreTransaction().put(JobKeys.cancel(TestJobs.ID), new byte[]{'1'}));
+        platform.store()
+                .commit(new StoreTransaction().put(JobKeys.cancellation(TestJobs.ID), new byte[]{'1'}));
     }
 
     private JobState storedState()
@@ -158,13 +159,13 @@
         acceptJob(ONE_TASK);
         assertThat(TestJobs.waitUntil(3_000, () -> worker.startedRuns().equals(List.of(TASK + "/1"))))
                 .isTrue();
-        platform.fakeStore().silenceWatches(true);
+        platform.fakeStore().suppressWatches(true);
         acceptOtherJob();
         assertThat(TestJobs.waitUntil(500, () -> worker.startedRuns().size() > 1)).isFalse();
         term.term().onJobWritten(OTHER_ID);
         List<String> both = List.of(TASK + "/1", OTHER_ID + ".0.0.0/1");
         assertThat(TestJobs.waitUntil(3_000, () -> worker.startedRuns().equals(both))).isTrue();
-        platform.fakeStore().silenceWatches(false);
+        platform.fakeStore().suppressWatches(false);
         assertThat(TestJobs.waitUntil(500, () -> worker.startedRuns().size() > 2)).isFalse();
     }
 
@@ -180,12 +181,12 @@
         acceptJob(ONE_TASK);
         assertThat(TestJobs.waitUntil(3_000, () -> worker.startedRuns().equals(List.of(TASK + "/1"))))
                 .isTrue();
-        platform.fakeStore().silenceWatches(true);
+        platform.fakeStore().suppressWatches(true);
         acceptOtherJob();
-        platform.store().commit(new StoreTransaction().put(JobKeys.cancel(OTHER_ID), new byte[]{'1'}));
+        platform.store().commit(new StoreTransaction().put(JobKeys.cancellation(OTHER_ID), new byte[]{'1'}));
         term.term().onJobWritten(OTHER_ID);
         assertThat(TestJobs.waitUntil(1_500, () -> worker.startedRuns().size() > 1)).isFalse();
-        platform.fakeStore().silenceWatches(false);
+        platform.fakeStore().suppressWatches(false);
         assertThat(TestJobs.waitUntil(500, () -> worker.startedRuns().size() > 1)).isFalse();
     }
 
@@ -341,14 +342,14 @@
         beginTerm();
         acceptJob(ONE_TASK);
         assertThat(TestJobs.waitUntil(3_000, () -> !worker.startedRuns().isEmpty())).isTrue();
-        platform.fakeStore().loseWritesOf(JobKeys.PROGRESS);
+        platform.fakeStore().loseWritesTo(JobKeys.PROGRESS);
         worker.endRun(TASK, RunEnd.DONE);
         assertThat(TestJobs.waitUntil(3_000, this::isEndRead)).isTrue();
         platform.unlist("w1");
         assertThat(TestJobs.waitUntil(3_000, worker::isClosed)).isTrue();
         platform.list("w1");
         assertThat(TestJobs.waitUntil(2_500, () -> worker.unacknowledgedEndCount() == 0)).isFalse();
-        platform.fakeStore().loseWritesOf(null);
+        platform.fakeStore().loseWritesTo(null);
         assertThat(TestJobs.waitUntil(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
         assertThat(TestJobs.waitUntil(3_000, () -> worker.unacknowledgedEndCount() == 0)).isTrue();
     }
@@ -366,14 +367,14 @@
         acceptJob(TestJobs.gang(2, 10_000));
         assertThat(TestJobs.waitUntil(3_000,
                 () -> !first.startedRuns().isEmpty() && !second.startedRuns().isEmpty())).isTrue();
-        platform.fakeStore().loseWritesOf(JobKeys.PROGRESS);
+        platform.fakeStore().loseWritesTo(JobKeys.PROGRESS);
         second.setUnresponsive(true);
         first.endRun(first.startedRuns().getFirst().replace("/1", ""), RunEnd.DONE);
         assertThat(TestJobs.waitUntil(3_000, this::isEndRead)).isTrue();
         second.endRun(second.startedRuns().getFirst().replace("/1", ""), RunEnd.DONE);
         second.setUnresponsive(false);
         assertThat(TestJobs.waitUntil(2_500, () -> second.unacknowledgedEndCount() == 0)).isFalse();
-        platform.fakeStore().loseWritesOf(null);
+        platform.fakeStore().loseWritesTo(null);
         assertThat(TestJobs.waitUntil(3_000, () -> storedState() == JobState.COMPLETED)).isTrue();
         assertThat(TestJobs.waitUntil(3_000,
                 () -> first.unacknowledgedEndCount() + second.unacknowledgedEndCount() == 0)).isTrue();
@@ -427,7 +428,7 @@
         FakeWorker worker = platform.addWorker("w1");
         platform.setAdvice((step, ids,
                 timeout) -> new Advice(ids.stream().map(id -> new Ticket(id, "ticket")).toList(), 500));
-        platform.fakeStore().afterNextCommitOf(JobKeys.PROGRESS, () -> Thread.sleep(700));
+        platform.fakeStore().afterNextCommitTo(JobKeys.PROGRESS, () -> Thread.sleep(700));
         beginTerm();
         acceptAdvisedJob(ONE_TASK);
         assertThat(TestJobs.waitUntil(5_000, () -> !worker.startedRuns().isEmpty())).isTrue();
@@ -446,7 +447,7 @@
             String text = "ticket-" + calls.incrementAndGet();
             return new Advice(ids.stream().map(id -> new Ticket(id, text)).toList(), 500);
         });
-        platform.fakeStore().afterNextCommitOf(JobKeys.PROGRESS, () -> Thread.sleep(700));
+        platform.fakeStore().afterNextCommitTo(JobKeys.PROGRESS, () -> Thread.sleep(700));
         beginTerm();
         acceptAdvisedJob(TestJobs.step(2, 10_000, List.of()));
         assertThat(TestJobs.waitUntil(5_000, () -> worker.startCount() > 0)).isTrue();
