--- a/gaugehollow/src/main/java/org/gaugehollow/config/ActiveConfig.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/config/ActiveConfig.java
@@ -30,7 +30,7 @@
 
 import com.fasterxml.jackson.core.JsonProcessingException;
 
-/** The resources in force, read into their records. Immutable; a change makes a new one. */
+/** Parsed configuration in force. Immutable; each change creates a new instance. */
 public final class ActiveConfig
 {
     private static final String DEFAULT_POLICY = "default";
@@ -40,36 +40,38 @@
     private final PolicyAssignments policies;
 
     /**
-     * Reads the entries in force. An entry that cannot be read is reported and left out.
+     * Parses the entries in force. An invalid entry is reported and skipped.
      *
-     * @param entries the entries
-     * @param registry makes the policies
-     * @param badEntry told the name and the fault of each unreadable entry
+     * @param entries entries in force
+     * @param registry creates the policies
+     * @param badEntryHandler receives the name and the error message of each invalid entry
      */
     public ActiveConfig(Collection<ConfigEntry> entries, PolicyRegistry registry,
-            BiConsumer<String, String> badEntry)
+            BiConsumer<String, String> badEntryHandler)
     {
-        List<ConfigEntry> byAge = entries.stream().sorted(Comparator.comparingLong(ConfigEntry::revision))
-                .toList();
-        Map<String, PolicyAssignments.Named> named = new HashMap<>();
-        Map<TaskClass, PolicyAssignments.Named> governing = new EnumMap<>(TaskClass.class);
-        Map<TaskClass, PolicyAssignments.Split> splits = new EnumMap<>(TaskClass.class);
-        for (ConfigEntry entry : byAge)
+        List<ConfigEntry> byRevision = entries.stream()
+                .sorted(Comparator.comparingLong(ConfigEntry::revision)).toList();
+        Map<String, PolicyAssignments.Named> policiesByName = new HashMap<>();
+        Map<TaskClass, PolicyAssignments.Named> policiesByClass = new EnumMap<>(TaskClass.class);
+        Map<TaskClass, PolicyAssignments.Split> splitsByClass = new EnumMap<>(TaskClass.class);
+        for (ConfigEntry entry : byRevision)
         {
-            guard(entry, badEntry, () -> readSpec(entry, registry, named, governing));
+            readOrReport(entry, badEntryHandler,
+                    () -> readSpec(entry, registry, policiesByName, policiesByClass));
         }
-        for (ConfigEntry entry : byAge)
+        for (ConfigEntry entry : byRevision)
         {
-            guard(entry, badEntry, () -> readComparison(entry, named, splits));
+            readOrReport(entry, badEntryHandler, () -> readComparison(entry, policiesByName, splitsByClass));
         }
-        PlacementPolicy fallback = registry.create(new PolicySpec(PolicyRegistry.WAITING_FIRST, null, null));
-        policies = new PolicyAssignments(governing, splits,
-                new PolicyAssignments.Named(DEFAULT_POLICY, fallback));
+        PlacementPolicy defaultPolicy = registry
+                .create(new PolicySpec(PolicyRegistry.WAITING_FIRST, null, null));
+        policies = new PolicyAssignments(policiesByClass, splitsByClass,
+                new PolicyAssignments.Named(DEFAULT_POLICY, defaultPolicy));
     }
 
     /**
-     * @param name a workload's name
-     * @return its content, if it is in force
+     * @param name workload name
+     * @return its specification, if it is in force
      */
     public Optional<WorkloadSpec> workload(String name)
     {
@@ -77,34 +79,35 @@
     }
 
     /**
-     * @param name a team's name
-     * @return its content, if it is in force
+     * @param name team name
+     * @return its specification, if it is in force
      */
     public Optional<TeamSpec> team(String name)
     {
         return Optional.ofNullable(teams.get(name));
     }
 
-    /** @return which policy governs which class */
+    /** @return policy of each task class */
     public PolicyAssignments policies()
     {
         return policies;
     }
 
     /**
-     * Reads a resource's content strictly.
+     * Parses a resource's content strictly.
      *
-     * @param kind its kind
-     * @param spec its JSON
-     * @return the record
-     * @throws GaugehollowException with {@link ResultCode#RESOURCE_INVALID}
+     * @param kind kind of the resource
+     * @param spec content as JSON
+     * @return specification record of the kind
+     * @throws GaugehollowException with {@link ResultCode#RESOURCE_INVALID} if the content is invalid
      */
     public static Object parseSpec(ResourceKind kind, byte[] spec)
     {
         return Json.read(spec, kind.specType(), ResultCode.RESOURCE_INVALID);
     }
 
-    private static void guard(ConfigEntry entry, BiConsumer<String, String> badEntry, Runnable read)
+    private static void readOrReport(ConfigEntry entry, BiConsumer<String, String> badEntryHandler,
+            Runnable read)
     {
         try
         {
@@ -112,52 +115,55 @@
         }
         catch (GaugehollowException e)
         {
-            badEntry.accept(entry.name(), e.getMessage());
+            badEntryHandler.accept(entry.name(), e.getMessage());
         }
     }
 
     private void readSpec(ConfigEntry entry, PolicyRegistry registry,
-            Map<String, PolicyAssignments.Named> named, Map<TaskClass, PolicyAssignments.Named> governing)
+            Map<String, PolicyAssignments.Named> policiesByName,
+            Map<TaskClass, PolicyAssignments.Named> policiesByClass)
     {
-        String name = nameOf(entry);
-        switch (specOf(entry))
+        String name = resourceNameOf(entry);
+        switch (parseEntry(entry))
         {
             case WorkloadSpec workload -> workloads.put(name, workload);
             case TeamSpec team -> teams.put(name, team);
             case PolicySpec policy -> {
-                PolicyAssignments.Named made = new PolicyAssignments.Named(name, registry.create(policy));
-                named.put(name, made);
-                policy.classes().forEach(taskClass -> governing.put(taskClass, made));
+                PolicyAssignments.Named namedPolicy = new PolicyAssignments.Named(name,
+                        registry.create(policy));
+                policiesByName.put(name, namedPolicy);
+                policy.classes().forEach(taskClass -> policiesByClass.put(taskClass, namedPolicy));
             }
             default -> {
-                // comparisons are read when all policies are known
+                // Comparisons refer to policies and are read after them.
             }
         }
     }
 
-    private static void readComparison(ConfigEntry entry, Map<String, PolicyAssignments.Named> named,
-            Map<TaskClass, PolicyAssignments.Split> splits)
+    private static void readComparison(ConfigEntry entry, Map<String, PolicyAssignments.Named> policiesByName,
+            Map<TaskClass, PolicyAssignments.Split> splitsByClass)
     {
-        if (!(specOf(entry) instanceof ComparisonSpec comparison))
+        if (!(parseEntry(entry) instanceof ComparisonSpec comparison))
         {
             return;
         }
-        PolicyAssignments.Named first = named.get(comparison.first());
-        PolicyAssignments.Named second = named.get(comparison.second());
+        PolicyAssignments.Named first = policiesByName.get(comparison.first());
+        PolicyAssignments.Named second = policiesByName.get(comparison.second());
         if (first == null || second == null)
         {
-            throw new GaugehollowException(ResultCode.RESOURCE_INVALID, "a compared policy is not in force");
+            throw new GaugehollowException(ResultCode.RESOURCE_INVALID,
+                    "a policy of the comparison is not in force");
         }
-        splits.put(comparison.taskClass(),
-                new PolicyAssignments.Split(nameOf(entry), first, second, comparison.secondPercent()));
+        splitsByClass.put(comparison.taskClass(), new PolicyAssignments.Split(resourceNameOf(entry), first,
+                second, comparison.secondPercent()));
     }
 
-    private static String nameOf(ConfigEntry entry)
+    private static String resourceNameOf(ConfigEntry entry)
     {
         return entry.name().substring(entry.name().indexOf('/') + 1);
     }
 
-    private static Object specOf(ConfigEntry entry)
+    private static Object parseEntry(ConfigEntry entry)
     {
         String plural = entry.name().substring(0, entry.name().indexOf('/'));
         Optional<ResourceKind> kind = ResourceKind.ofPlural(plural);
--- a/gaugehollow/src/main/java/org/gaugehollow/config/ConfigCache.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/config/ConfigCache.java
@@ -22,32 +22,31 @@
 import org.gaugehollow.model.ConfigEntry;
 
 /**
- * The configuration in force on this box. An entry is only ever replaced by one of a higher
- * revision, whichever way it comes: from the store's watch, from a peer, or from a write made here.
- * Thread-safe.
+ * Local copy of the configuration in force. Changes arrive from the store's watch, from peers and
+ * from writes of this box; an entry is only replaced by one of a higher revision. Thread-safe.
  */
 public final class ConfigCache
 {
-    /** How many changes are held for watches and for peers that lag. */
+    /** Maximum number of changes kept for watchers and peers that lag behind. */
     public static final int HISTORY = 4096;
 
     private final ReentrantLock lock = new ReentrantLock();
-    private final Condition advanced = lock.newCondition();
+    private final Condition changed = lock.newCondition();
     private final Map<String, ConfigEntry> entries = new TreeMap<>();
     private final Deque<ConfigEntry> history = new ArrayDeque<>();
     private final List<Consumer<List<ConfigEntry>>> listeners = new CopyOnWriteArrayList<>();
     private long revision;
-    private long historyFloor;
+    private long oldestKnownRevision;
 
     /**
-     * @param listener is told of the entries that came into force, in order, under the keeper's lock
+     * @param listener called with the applied entries, in order, while the lock of this cache is held
      */
     public void addListener(Consumer<List<ConfigEntry>> listener)
     {
         listeners.add(listener);
     }
 
-    /** @return every change up to this revision is in force here; 0 before the first */
+    /** @return revision up to which all changes are applied; 0 before the first */
     public long revision()
     {
         lock.lock();
@@ -62,7 +61,7 @@
     }
 
     /**
-     * Applies a delta from the store or from a peer; an older one changes nothing.
+     * Applies a delta from the store or from a peer. A delta that is not newer is ignored.
      *
      * @param delta the delta
      */
@@ -77,7 +76,7 @@
             }
             List<ConfigEntry> applied = delta.full() ? applyFull(delta) : applyChanges(delta);
             revision = delta.revision();
-            announce(applied);
+            notifyListeners(applied);
         }
         finally
         {
@@ -86,7 +85,7 @@
     }
 
     /**
-     * Applies a change that this box made itself, ahead of the stream that will bring it again.
+     * Applies a change made by this box before the store's watch delivers it.
      *
      * @param entry the change
      */
@@ -95,9 +94,9 @@
         lock.lock();
         try
         {
-            if (replace(entry))
+            if (replaceIfNewer(entry))
             {
-                announce(List.of(entry));
+                notifyListeners(List.of(entry));
             }
         }
         finally
@@ -107,20 +106,20 @@
     }
 
     /**
-     * @param from the revision that another box has
-     * @return what brings it to this box's revision
+     * @param from revision of another box
+     * @return delta that leads to this box's revision; full if the changes are no longer kept
      */
     public ConfigDelta since(long from)
     {
         lock.lock();
         try
         {
-            if (from >= historyFloor && from > 0)
+            if (from >= oldestKnownRevision && from > 0)
             {
                 return new ConfigDelta(revision, false, historyAfter(from));
             }
             return new ConfigDelta(revision, true,
-                    entries.values().stream().filter(e -> !e.deleted()).toList());
+                    entries.values().stream().filter(entry -> !entry.deleted()).toList());
         }
         finally
         {
@@ -131,22 +130,23 @@
     /**
      * Waits for changes after a revision.
      *
-     * @param from the revision that the watcher has seen
-     * @param nanos how long to wait
-     * @return the changes in order; empty after the time; nothing at all if they are no longer held
-     * @throws InterruptedException if the process stops
+     * @param from revision that the watcher has seen
+     * @param timeoutNanos maximum time to wait, in nanoseconds
+     * @return changes in order, an empty list after the timeout; empty if the changes are no longer
+     *         kept
+     * @throws InterruptedException if the thread is interrupted
      */
-    public Optional<List<ConfigEntry>> awaitAfter(long from, long nanos) throws InterruptedException
+    public Optional<List<ConfigEntry>> awaitAfter(long from, long timeoutNanos) throws InterruptedException
     {
         lock.lock();
         try
         {
-            long left = nanos;
-            while (from >= historyFloor && lastInHistory() <= from && left > 0)
+            long remainingNanos = timeoutNanos;
+            while (from >= oldestKnownRevision && lastHistoryRevision() <= from && remainingNanos > 0)
             {
-                left = advanced.awaitNanos(left);
+                remainingNanos = changed.awaitNanos(remainingNanos);
             }
-            return from < historyFloor ? Optional.empty() : Optional.of(historyAfter(from));
+            return from < oldestKnownRevision ? Optional.empty() : Optional.of(historyAfter(from));
         }
         finally
         {
@@ -155,15 +155,15 @@
     }
 
     /**
-     * @param name a key below the configuration's prefix
-     * @return its entry, if it is in force
+     * @param name key relative to the configuration's prefix
+     * @return the entry, if it is in force
      */
     public Optional<ConfigEntry> get(String name)
     {
         lock.lock();
         try
         {
-            return Optional.ofNullable(entries.get(name)).filter(e -> !e.deleted());
+            return Optional.ofNullable(entries.get(name)).filter(entry -> !entry.deleted());
         }
         finally
         {
@@ -172,16 +172,16 @@
     }
 
     /**
-     * @param prefix the start of keys
-     * @return the entries in force whose keys start with it, in order
+     * @param prefix prefix of keys
+     * @return entries in force whose keys start with the prefix, in order
      */
     public List<ConfigEntry> list(String prefix)
     {
         lock.lock();
         try
         {
-            return entries.values().stream().filter(e -> !e.deleted() && e.name().startsWith(prefix))
-                    .toList();
+            return entries.values().stream()
+                    .filter(entry -> !entry.deleted() && entry.name().startsWith(prefix)).toList();
         }
         finally
         {
@@ -199,14 +199,14 @@
                 continue;
             }
             history.addLast(entry);
-            if (replace(entry))
+            if (replaceIfNewer(entry))
             {
                 applied.add(entry);
             }
         }
         while (history.size() > HISTORY)
         {
-            historyFloor = history.removeFirst().revision();
+            oldestKnownRevision = history.removeFirst().revision();
         }
         return applied;
     }
@@ -214,35 +214,35 @@
     private List<ConfigEntry> applyFull(ConfigDelta delta)
     {
         List<ConfigEntry> applied = new ArrayList<>();
-        Set<String> named = new HashSet<>();
+        Set<String> names = new HashSet<>();
         for (ConfigEntry entry : delta.entries())
         {
-            named.add(entry.name());
-            if (replace(entry))
+            names.add(entry.name());
+            if (replaceIfNewer(entry))
             {
                 applied.add(entry);
             }
         }
-        for (ConfigEntry held : new HashMap<>(entries).values())
+        for (ConfigEntry current : new HashMap<>(entries).values())
         {
-            boolean gone = !held.deleted() && !named.contains(held.name())
-                    && held.revision() <= delta.revision();
-            if (gone)
+            boolean removed = !current.deleted() && !names.contains(current.name())
+                    && current.revision() <= delta.revision();
+            if (removed)
             {
-                ConfigEntry removal = new ConfigEntry(held.name(), delta.revision(), new byte[0], true);
-                entries.put(held.name(), removal);
+                ConfigEntry removal = new ConfigEntry(current.name(), delta.revision(), new byte[0], true);
+                entries.put(current.name(), removal);
                 applied.add(removal);
             }
         }
         history.clear();
-        historyFloor = delta.revision();
+        oldestKnownRevision = delta.revision();
         return applied;
     }
 
-    private boolean replace(ConfigEntry entry)
+    private boolean replaceIfNewer(ConfigEntry entry)
     {
-        ConfigEntry held = entries.get(entry.name());
-        if (held != null && held.revision() >= entry.revision())
+        ConfigEntry current = entries.get(entry.name());
+        if (current != null && current.revision() >= entry.revision())
         {
             return false;
         }
@@ -250,22 +250,22 @@
         return true;
     }
 
-    private void announce(List<ConfigEntry> applied)
+    private void notifyListeners(List<ConfigEntry> applied)
     {
-        advanced.signalAll();
+        changed.signalAll();
         if (!applied.isEmpty())
         {
             listeners.forEach(listener -> listener.accept(applied));
         }
     }
 
-    private long lastInHistory()
+    private long lastHistoryRevision()
     {
-        return history.isEmpty() ? historyFloor : history.getLast().revision();
+        return history.isEmpty() ? oldestKnownRevision : history.getLast().revision();
     }
 
     private List<ConfigEntry> historyAfter(long from)
     {
-        return history.stream().filter(e -> e.revision() > from).toList();
+        return history.stream().filter(entry -> entry.revision() > from).toList();
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/config/ConfigDelta.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/config/ConfigDelta.java
@@ -9,11 +9,11 @@
 import org.gaugehollow.model.ConfigEntry;
 
 /**
- * What brings another box from its revision to this one.
+ * Changes that lead another box to a revision.
  *
- * @param revision the revision it leads to
- * @param full whether the entries are the whole configuration, and not the changes in order
- * @param entries the entries
+ * @param revision resulting revision
+ * @param full whether the entries are the whole configuration instead of a sequence of changes
+ * @param entries entries of the configuration, or changes in order
  */
 public record ConfigDelta(long revision, boolean full, List<ConfigEntry> entries)
 {
--- a/gaugehollow/src/main/java/org/gaugehollow/config/ResourceStore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/config/ResourceStore.java
@@ -23,21 +23,20 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * Writes resources by compare-and-swap. A write whose answer was lost is settled: the same
- * conditional write is sent again, which can take effect only once, until the store says whether it
- * did.
+ * Writes resources by compare-and-swap. If the answer to a write is lost, the same conditional
+ * write is sent again until the store reports its outcome; it can take effect only once.
  */
 public final class ResourceStore
 {
-    private static final int SETTLE_TRIES = 4;
-    private static final long SETTLE_PAUSE_MILLIS = 150;
+    private static final int MAX_ATTEMPTS = 4;
+    private static final long INITIAL_BACKOFF_MILLIS = 150;
 
     private final PlatformStore store;
     private final EventLog events;
 
     /**
-     * @param store the platform's service
-     * @param events where settled writes are recorded
+     * @param store the platform's key-value service
+     * @param events records writes whose lost outcome was determined
      */
     public ResourceStore(PlatformStore store, EventLog events)
     {
@@ -48,20 +47,20 @@
     /**
      * Creates or changes a resource.
      *
-     * @param name its key below the configuration's prefix
-     * @param expected the revision it was read at; empty to create it
-     * @param spec its new content
-     * @return the entry that the store now holds
-     * @throws InterruptedException if the process stops
+     * @param name key relative to the configuration's prefix
+     * @param expected expected current revision; empty to create the resource
+     * @param spec new content
+     * @return entry now in the store
+     * @throws InterruptedException if the thread is interrupted
      * @throws GaugehollowException {@code REVISION_CONFLICT}, {@code RESOURCE_NOT_FOUND},
      *             {@code STORE_UNAVAILABLE} if nothing was changed, {@code STORE_OUTCOME_UNKNOWN}
      *             otherwise
      */
     public ConfigEntry put(String name, Optional<Long> expected, JsonNode spec) throws InterruptedException
     {
-        Optional<StoredValue> current = readBase(name, expected);
+        Optional<StoredValue> current = readExpected(name, expected);
         String writeId = UUID.randomUUID().toString();
-        Envelope envelope = current.map(v -> envelopeOf(v.value()).next(writeId, spec))
+        Envelope envelope = current.map(stored -> envelopeOf(stored.value()).next(writeId, spec))
                 .orElseGet(() -> new Envelope(writeId, List.of(), spec));
         byte[] bytes = Json.write(envelope);
         StoreTransaction write = new StoreTransaction().require(StoreKeys.CONFIG + name, expected.orElse(0L))
@@ -69,51 +68,53 @@
         Optional<Long> revision = commitUntilAnswered(name, write, writeId);
         return revision.isPresent()
                 ? new ConfigEntry(name, revision.get(), bytes, false)
-                : settlePut(name, writeId);
+                : resolvePutOutcome(name, writeId);
     }
 
     /**
-     * Removes a resource. The id of the write is kept beside it, so that a lost answer can be settled.
+     * Deletes a resource. The id of the write is stored under a separate key, so that the outcome can
+     * be determined if the answer is lost.
      *
-     * @param name its key below the configuration's prefix
-     * @param expected the revision it was read at
-     * @return the removal
-     * @throws InterruptedException if the process stops
+     * @param name key relative to the configuration's prefix
+     * @param expected expected current revision
+     * @return entry that marks the deletion
+     * @throws InterruptedException if the thread is interrupted
      * @throws GaugehollowException as {@link #put}
      */
     public ConfigEntry delete(String name, long expected) throws InterruptedException
     {
-        readBase(name, Optional.of(expected));
+        readExpected(name, Optional.of(expected));
         String writeId = UUID.randomUUID().toString();
         StoreTransaction write = new StoreTransaction().require(StoreKeys.CONFIG + name, expected)
                 .delete(StoreKeys.CONFIG + name)
                 .put(StoreKeys.removal(name), writeId.getBytes(StandardCharsets.UTF_8));
         Optional<Long> revision = commitUntilAnswered(name, write, writeId);
-        long removedAt = revision.isPresent() ? revision.get() : settleDelete(name, writeId);
+        long removedAt = revision.isPresent() ? revision.get() : resolveDeleteOutcome(name, writeId);
         return new ConfigEntry(name, removedAt, new byte[0], true);
     }
 
-    private Optional<StoredValue> readBase(String name, Optional<Long> expected) throws InterruptedException
+    private Optional<StoredValue> readExpected(String name, Optional<Long> expected)
+            throws InterruptedException
     {
         Optional<StoredValue> current = store.get(StoreKeys.CONFIG + name);
         if (expected.isPresent() && current.isEmpty())
         {
             throw new GaugehollowException(ResultCode.RESOURCE_NOT_FOUND, name + " does not exist");
         }
-        long found = current.map(StoredValue::modRevision).orElse(0L);
-        if (found != expected.orElse(0L))
+        long currentRevision = current.map(StoredValue::modRevision).orElse(0L);
+        if (currentRevision != expected.orElse(0L))
         {
-            throw conflict(name, found);
+            throw conflict(name, currentRevision);
         }
         return current;
     }
 
-    /** Returns the revision, or empty where an earlier try may be what made the condition fail. */
+    /** Returns the revision, or empty if an earlier attempt may have caused the condition to fail. */
     private Optional<Long> commitUntilAnswered(String name, StoreTransaction write, String writeId)
             throws InterruptedException
     {
         boolean maybeApplied = false;
-        for (int attempt = 0; attempt < SETTLE_TRIES; attempt++)
+        for (int attempt = 0; attempt < MAX_ATTEMPTS; attempt++)
         {
             try
             {
@@ -126,18 +127,18 @@
             }
             catch (GaugehollowException e)
             {
-                if (!leavesOutcomeOpen(e, maybeApplied))
+                if (!isOutcomeUnknown(e, maybeApplied))
                 {
                     throw e;
                 }
                 maybeApplied = true;
             }
-            Thread.sleep(SETTLE_PAUSE_MILLIS << attempt);
+            Thread.sleep(INITIAL_BACKOFF_MILLIS << attempt);
         }
-        throw outcomeOpen(name, writeId);
+        throw outcomeUnknown(name, writeId);
     }
 
-    private static boolean leavesOutcomeOpen(GaugehollowException e, boolean maybeApplied)
+    private static boolean isOutcomeUnknown(GaugehollowException e, boolean maybeApplied)
     {
         return switch (e.code())
         {
@@ -147,8 +148,10 @@
         };
     }
 
-    /** Reads a key that tells of a write; without it the write's outcome stays open. */
-    private Optional<StoredValue> readToSettle(String key, String name, String writeId)
+    /**
+     * Reads a key that shows whether a write was applied; if the read fails, the outcome is unknown.
+     */
+    private Optional<StoredValue> readForOutcome(String key, String name, String writeId)
             throws InterruptedException
     {
         try
@@ -157,38 +160,39 @@
         }
         catch (GaugehollowException e)
         {
-            GaugehollowException open = outcomeOpen(name, writeId);
-            open.initCause(e);
-            throw open;
+            GaugehollowException exception = outcomeUnknown(name, writeId);
+            exception.initCause(e);
+            throw exception;
         }
     }
 
     /**
-     * Returns what the store holds now if this write was applied, even if a later one followed it. A
-     * resource that is gone may have been removed before this write or after it.
+     * Returns the current entry if this write was applied, even if a later one followed. If the
+     * resource no longer exists, the outcome is unknown: it may have been deleted before or after this
+     * write.
      */
-    private ConfigEntry settlePut(String name, String writeId) throws InterruptedException
+    private ConfigEntry resolvePutOutcome(String name, String writeId) throws InterruptedException
     {
-        Optional<StoredValue> now = readToSettle(StoreKeys.CONFIG + name, name, writeId);
-        if (now.isEmpty())
+        Optional<StoredValue> current = readForOutcome(StoreKeys.CONFIG + name, name, writeId);
+        if (current.isEmpty())
         {
-            throw outcomeOpen(name, writeId);
+            throw outcomeUnknown(name, writeId);
         }
-        boolean applied = envelopeOf(now.get().value()).holds(writeId);
-        recordSettled(name, applied);
+        boolean applied = envelopeOf(current.get().value()).hasApplied(writeId);
+        recordOutcome(name, applied);
         if (!applied)
         {
-            throw conflict(name, now.get().modRevision());
+            throw conflict(name, current.get().modRevision());
         }
-        return new ConfigEntry(name, now.get().modRevision(), now.get().value(), false);
+        return new ConfigEntry(name, current.get().modRevision(), current.get().value(), false);
     }
 
-    private long settleDelete(String name, String writeId) throws InterruptedException
+    private long resolveDeleteOutcome(String name, String writeId) throws InterruptedException
     {
-        Optional<StoredValue> removal = readToSettle(StoreKeys.removal(name), name, writeId);
+        Optional<StoredValue> removal = readForOutcome(StoreKeys.removal(name), name, writeId);
         boolean applied = removal.isPresent()
                 && writeId.equals(new String(removal.get().value(), StandardCharsets.UTF_8));
-        recordSettled(name, applied);
+        recordOutcome(name, applied);
         if (!applied)
         {
             throw conflict(name, currentRevision(name));
@@ -196,10 +200,10 @@
         return removal.get().modRevision();
     }
 
-    private void recordSettled(String name, boolean applied)
+    private void recordOutcome(String name, boolean applied)
     {
         events.record(EventType.CONFIG_WRITE_SETTLED, name,
-                applied ? "it was applied" : "another change came first");
+                applied ? "the write was applied" : "another change was applied first");
     }
 
     private long currentRevision(String name) throws InterruptedException
@@ -212,15 +216,15 @@
         return Json.read(bytes, Envelope.class, ResultCode.STORE_BAD_ANSWER);
     }
 
-    private static GaugehollowException outcomeOpen(String name, String writeId)
+    private static GaugehollowException outcomeUnknown(String name, String writeId)
     {
-        return new GaugehollowException(ResultCode.STORE_OUTCOME_UNKNOWN, "the store did not say whether "
-                + name + " was changed; read it before you try again (write id " + writeId + ")");
+        return new GaugehollowException(ResultCode.STORE_OUTCOME_UNKNOWN, "the store did not report whether "
+                + name + " was changed; read it before retrying (write id " + writeId + ")");
     }
 
-    private static GaugehollowException conflict(String name, long found)
+    private static GaugehollowException conflict(String name, long currentRevision)
     {
-        String state = found == 0 ? "it does not exist" : "its revision is " + found;
+        String state = currentRevision == 0 ? "it does not exist" : "its revision is " + currentRevision;
         return new GaugehollowException(ResultCode.REVISION_CONFLICT, name + " changed: " + state);
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/config/StoreFollower.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/config/StoreFollower.java
@@ -20,31 +20,31 @@
 import org.gaugehollow.time.SteadyClock;
 
 /**
- * Follows the configuration in the store while this box is one of the hall's relays, and feeds it
- * to the keeper. Other boxes take it from the relays, so the store's watches grow with halls, not
- * boxes.
+ * Watches the configuration in the store while this box is a relay of its data hall, and applies
+ * the changes to the cache. Other boxes get them from the relays, so the number of watches on the
+ * store depends on the number of data halls, not of boxes.
  */
 public final class StoreFollower implements SupervisedTask
 {
     private static final int POLL_MILLIS = 200;
     private static final int RETRY_MILLIS = 300;
-    private static final long SILENT_NANOS = 5_000_000_000L;
+    private static final long IDLE_TIMEOUT_NANOS = 5_000_000_000L;
 
     private final PlatformStore store;
-    private final ConfigCache keeper;
+    private final ConfigCache cache;
     private final BooleanSupplier isRelay;
     private final EventLog events;
 
     /**
-     * @param store the platform's service
-     * @param keeper what is fed
-     * @param isRelay whether this box is to follow the store now
-     * @param events where losses of the watch are recorded
+     * @param store the platform's key-value service
+     * @param cache cache that receives the changes
+     * @param isRelay returns whether this box currently is a relay
+     * @param events records losses of the watch
      */
-    public StoreFollower(PlatformStore store, ConfigCache keeper, BooleanSupplier isRelay, EventLog events)
+    public StoreFollower(PlatformStore store, ConfigCache cache, BooleanSupplier isRelay, EventLog events)
     {
         this.store = store;
-        this.keeper = keeper;
+        this.cache = cache;
         this.isRelay = isRelay;
         this.events = events;
     }
@@ -52,18 +52,18 @@
     @Override
     public void run() throws InterruptedException
     {
-        boolean lost = false;
+        boolean watchLost = false;
         while (true)
         {
             if (isRelay.getAsBoolean())
             {
-                lost = followOnce(lost);
+                watchLost = followOnce(watchLost);
             }
             Thread.sleep(RETRY_MILLIS);
         }
     }
 
-    private boolean followOnce(boolean lostBefore) throws InterruptedException
+    private boolean followOnce(boolean alreadyLost) throws InterruptedException
     {
         try
         {
@@ -72,7 +72,7 @@
         }
         catch (GaugehollowException e)
         {
-            if (!lostBefore)
+            if (!alreadyLost)
             {
                 events.record(EventType.STORE_WATCH_LOST, StoreKeys.CONFIG, e.getMessage());
             }
@@ -86,22 +86,22 @@
 
     private void follow() throws InterruptedException
     {
-        if (keeper.revision() == 0)
+        if (cache.revision() == 0)
         {
             readAll();
         }
-        try (StoreWatch watch = store.watch(StoreKeys.CONFIG, keeper.revision() + 1))
+        try (StoreWatch watch = store.watch(StoreKeys.CONFIG, cache.revision() + 1))
         {
-            long heardAt = SteadyClock.nanos();
-            while (isRelay.getAsBoolean() && SteadyClock.nanos() - heardAt < SILENT_NANOS)
+            long lastChangeAt = SteadyClock.nanos();
+            while (isRelay.getAsBoolean() && SteadyClock.nanos() - lastChangeAt < IDLE_TIMEOUT_NANOS)
             {
                 List<StoreChange> changes = watch.poll(POLL_MILLIS);
                 if (!changes.isEmpty())
                 {
-                    heardAt = SteadyClock.nanos();
+                    lastChangeAt = SteadyClock.nanos();
                     long revision = changes.getLast().revision();
-                    keeper.apply(new ConfigDelta(revision, false,
-                            changes.stream().map(StoreFollower::entry).toList()));
+                    cache.apply(new ConfigDelta(revision, false,
+                            changes.stream().map(StoreFollower::toEntry).toList()));
                 }
             }
         }
@@ -110,13 +110,14 @@
     private void readAll() throws InterruptedException
     {
         StoreListing listing = store.list(StoreKeys.CONFIG);
-        List<ConfigEntry> entries = listing.values().stream()
-                .map(v -> new ConfigEntry(nameOf(v.key()), v.modRevision(), v.value(), false)).toList();
-        keeper.apply(new ConfigDelta(listing.revision(), true, entries));
+        List<ConfigEntry> entries = listing.values().stream().map(
+                stored -> new ConfigEntry(nameOf(stored.key()), stored.modRevision(), stored.value(), false))
+                .toList();
+        cache.apply(new ConfigDelta(listing.revision(), true, entries));
         events.record(EventType.CONFIG_RESYNCED, StoreKeys.CONFIG, "revision " + listing.revision());
     }
 
-    private static ConfigEntry entry(StoreChange change)
+    private static ConfigEntry toEntry(StoreChange change)
     {
         return new ConfigEntry(nameOf(change.key()), change.revision(), change.value(), change.deleted());
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/config/StoreKeys.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/config/StoreKeys.java
@@ -6,23 +6,23 @@
 
 import org.gaugehollow.model.ResourceKind;
 
-/** The names of keys in the platform's service. */
+/** Keys in the platform's key-value service. */
 public final class StoreKeys
 {
-    /** The start of all configuration keys. */
+    /** Prefix of all configuration keys. */
     public static final String CONFIG = "/gaugehollow/config/";
-    private static final String HALLS = "halls/";
-    private static final String REMOVALS = "/gaugehollow/removals/";
-    private static final String MEMBERS = "/gaugehollow/members/";
+    private static final String HALLS_PREFIX = "halls/";
+    private static final String REMOVALS_PREFIX = "/gaugehollow/removals/";
+    private static final String MEMBERS_PREFIX = "/gaugehollow/members/";
 
     private StoreKeys()
     {
     }
 
     /**
-     * @param kind a kind of resource
-     * @param name a resource's name
-     * @return its key below {@link #CONFIG}
+     * @param kind resource kind
+     * @param name resource name
+     * @return key of the resource, relative to {@link #CONFIG}
      */
     public static String resource(ResourceKind kind, String name)
     {
@@ -30,36 +30,36 @@
     }
 
     /**
-     * @param hall a data hall
-     * @return the key of its map, below {@link #CONFIG}
+     * @param hall data hall
+     * @return key of the data hall's assignment map, relative to {@link #CONFIG}
      */
     public static String hallMap(String hall)
     {
-        return HALLS + hall;
+        return HALLS_PREFIX + hall;
     }
 
     /**
-     * @param name a key below {@link #CONFIG}
-     * @return whether it is a hall's map
+     * @param name key relative to {@link #CONFIG}
+     * @return whether it is the key of an assignment map
      */
     public static boolean isHallMap(String name)
     {
-        return name.startsWith(HALLS);
+        return name.startsWith(HALLS_PREFIX);
     }
 
     /**
-     * @param hall a data hall
-     * @return the start of the keys of its boxes
+     * @param hall data hall
+     * @return prefix of the keys of the data hall's boxes
      */
     public static String members(String hall)
     {
-        return MEMBERS + hall + '/';
+        return MEMBERS_PREFIX + hall + '/';
     }
 
     /**
-     * @param hall a data hall
-     * @param box a box's id
-     * @return the key that lives as long as the box's lease
+     * @param hall data hall
+     * @param box box id
+     * @return key that exists as long as the box's lease
      */
     public static String member(String hall, String box)
     {
@@ -67,11 +67,11 @@
     }
 
     /**
-     * @param name a key below {@link #CONFIG}
-     * @return the key that holds the id of the write that removed it last
+     * @param name key relative to {@link #CONFIG}
+     * @return key that stores the id of the write that last deleted the given key
      */
     public static String removal(String name)
     {
-        return REMOVALS + name;
+        return REMOVALS_PREFIX + name;
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/event/BoundedPrintStream.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/event/BoundedPrintStream.java
@@ -12,21 +12,21 @@
 import java.util.function.LongSupplier;
 
 /**
- * A stream of log lines that never blocks its writers: a thread of its own passes the lines on, and
- * those that come while its buffer is full are dropped and counted. Each line begins with the time
- * at which it was printed. Only whole lines are taken; anything else that is printed is ignored.
+ * Print stream for log lines that never blocks its writers. A separate thread forwards the lines;
+ * lines printed while the buffer is full are dropped and counted. Each line is prefixed with the
+ * time at which it was printed. Only {@code println} is supported; other output is ignored.
  */
 public final class BoundedPrintStream extends PrintStream
 {
-    /** Lines that wait for a slow reader; at some 120 bytes a line a quarter of a megabyte. */
+    /** Maximum number of buffered lines. */
     static final int CAPACITY = 2048;
 
-    private static final long LONGEST_FLUSH_MILLIS = 200;
-    private static final long STEP_MILLIS = 5;
+    private static final long MAX_FLUSH_MILLIS = 200;
+    private static final long FLUSH_POLL_MILLIS = 5;
 
     private final BlockingQueue<String> lines = new ArrayBlockingQueue<>(CAPACITY);
     private final AtomicLong dropped = new AtomicLong();
-    /** Lines that were taken and not passed on yet. */
+    /** Number of accepted lines that have not been forwarded yet. */
     private final AtomicLong pending = new AtomicLong();
     private final PrintStream target;
     private final LongSupplier clock;
@@ -39,14 +39,14 @@
     }
 
     /**
-     * @param target where the lines go in the end; it may block
-     * @param clock milliseconds since 1970
-     * @return the stream; its thread ends with the process
+     * @param target stream to which the lines are forwarded; may block
+     * @param clock supplies milliseconds since the epoch
+     * @return the stream; its thread is a daemon
      */
     public static BoundedPrintStream start(PrintStream target, LongSupplier clock)
     {
         BoundedPrintStream stream = new BoundedPrintStream(target, clock);
-        Thread.ofPlatform().name("log").daemon().start(stream::passOn);
+        Thread.ofPlatform().name("log").daemon().start(stream::forwardLines);
         return stream;
     }
 
@@ -67,16 +67,16 @@
         println(String.valueOf(line));
     }
 
-    /** Waits until all lines were passed on, but not for a reader that has stopped. */
+    /** Waits until all accepted lines are forwarded, but not for longer than a fixed limit. */
     @Override
     public void flush()
     {
-        long end = clock.getAsLong() + LONGEST_FLUSH_MILLIS;
+        long deadline = clock.getAsLong() + MAX_FLUSH_MILLIS;
         try
         {
-            while (pending.get() > 0 && clock.getAsLong() < end)
+            while (pending.get() > 0 && clock.getAsLong() < deadline)
             {
-                Thread.sleep(STEP_MILLIS);
+                Thread.sleep(FLUSH_POLL_MILLIS);
             }
         }
         catch (InterruptedException e)
@@ -85,13 +85,13 @@
         }
     }
 
-    /** @return how many lines were dropped since the start */
+    /** @return number of lines dropped since the start */
     public long dropped()
     {
         return dropped.get();
     }
 
-    private void passOn()
+    private void forwardLines()
     {
         try
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/event/Event.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/event/Event.java
@@ -5,14 +5,14 @@
 package org.gaugehollow.event;
 
 /**
- * One entry of the time line.
+ * An event of a process.
  *
- * @param time the hybrid logical time
- * @param process the process it happened in
- * @param number the event's number
- * @param name the event's name
- * @param subject what it is about: a task, a worker, a box, a resource
- * @param text details for people
+ * @param time hybrid logical time
+ * @param process name of the process that recorded it
+ * @param number number of the event type
+ * @param name name of the event type
+ * @param subject id of the task, worker, box or resource concerned
+ * @param text human-readable details
  */
 public record Event(long time, String process, int number, String name, String subject, String text)
 {
--- a/gaugehollow/src/main/java/org/gaugehollow/event/EventLog.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/event/EventLog.java
@@ -13,21 +13,21 @@
 import org.apache.logging.log4j.LogManager;
 import org.apache.logging.log4j.Logger;
 
-/** Writes numbered events to the log and keeps the newest in a bounded ring for the time line. */
+/** Writes numbered events to the log and keeps the latest in memory. */
 public final class EventLog
 {
     private static final Logger LOG = LogManager.getLogger(EventLog.class);
-    /** How many events a process keeps. */
+    /** Maximum number of events kept. */
     public static final int CAPACITY = 4096;
 
     private final String process;
     private final HybridClock clock;
-    private final Deque<Event> ring = new ArrayDeque<>();
+    private final Deque<Event> recentEvents = new ArrayDeque<>();
     private final Optional<Metrics> metrics;
 
     /**
-     * @param process the name of this process
-     * @param clock the clock that stamps events
+     * @param process name of this process
+     * @param clock clock for event times
      */
     public EventLog(String process, HybridClock clock)
     {
@@ -35,9 +35,9 @@
     }
 
     /**
-     * @param process the name of this process
-     * @param clock the clock that stamps events
-     * @param metrics where each event is counted by its name, if anywhere
+     * @param process name of this process
+     * @param clock clock for event times
+     * @param metrics counts the events by name, if present
      */
     public EventLog(String process, HybridClock clock, Optional<Metrics> metrics)
     {
@@ -46,13 +46,13 @@
         this.metrics = metrics;
     }
 
-    /** @return the name of this process */
+    /** @return name of this process */
     public String process()
     {
         return process;
     }
 
-    /** @return the clock that stamps events */
+    /** @return clock for event times */
     public HybridClock clock()
     {
         return clock;
@@ -61,35 +61,35 @@
     /**
      * Records an event.
      *
-     * @param type which event
-     * @param subject what it is about
-     * @param text details; may be empty
+     * @param type event type
+     * @param subject id of the object concerned
+     * @param text human-readable details; may be empty
      */
     public void record(EventType type, String subject, String text)
     {
         Event event = new Event(clock.next(), process, type.number(), type.name(), subject, text);
-        synchronized (ring)
+        synchronized (recentEvents)
         {
-            if (ring.size() == CAPACITY)
+            if (recentEvents.size() == CAPACITY)
             {
-                ring.removeFirst();
+                recentEvents.removeFirst();
             }
-            ring.addLast(event);
+            recentEvents.addLast(event);
         }
-        metrics.ifPresent(counts -> counts.event(type));
+        metrics.ifPresent(registry -> registry.recordEvent(type));
         LOG.log(type.level(), "E{} {} [{}] {} {}", type.number(), type.name(), process, subject, text);
     }
 
     /**
-     * @param after only events later than this hybrid time
-     * @return the events kept, oldest first
+     * @param after hybrid time; only later events are returned
+     * @return matching events, oldest first
      */
     public List<Event> since(long after)
     {
-        synchronized (ring)
+        synchronized (recentEvents)
         {
             List<Event> events = new ArrayList<>();
-            for (Event event : ring)
+            for (Event event : recentEvents)
             {
                 if (event.time() > after)
                 {
--- a/gaugehollow/src/main/java/org/gaugehollow/event/EventType.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/event/EventType.java
@@ -7,8 +7,8 @@
 import org.apache.logging.log4j.Level;
 
 /**
- * The numbered events of logs and time line. docs/EVENTS.md lists them and a test holds that
- * catalogue equal to this one.
+ * Types of recorded events. The numbers are stable; docs/EVENTS.md lists the types and a test
+ * compares that page with this enum.
  */
 public enum EventType
 {
@@ -119,19 +119,19 @@
         this.meaning = meaning;
     }
 
-    /** @return the stable number */
+    /** @return stable number */
     public int number()
     {
         return number;
     }
 
-    /** @return the level it is logged with */
+    /** @return log level */
     public Level level()
     {
         return level;
     }
 
-    /** @return one sentence for people */
+    /** @return one-sentence description */
     public String meaning()
     {
         return meaning;
--- a/gaugehollow/src/main/java/org/gaugehollow/event/HybridClock.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/event/HybridClock.java
@@ -8,8 +8,8 @@
 import java.util.function.LongSupplier;
 
 /**
- * A hybrid logical clock: milliseconds since 1970 in the upper 48 bits, a counter in the lower 16,
- * so that an event caused by another one always carries the later time.
+ * Hybrid logical clock. A time has milliseconds since the epoch in the upper 48 bits and a counter
+ * in the lower 16 bits, so that an event always has a later time than the events that caused it.
  */
 public final class HybridClock
 {
@@ -19,14 +19,14 @@
     private final AtomicLong last = new AtomicLong();
 
     /**
-     * @param wallMillis the wall clock
+     * @param wallMillis supplies milliseconds since the epoch
      */
     public HybridClock(LongSupplier wallMillis)
     {
         this.wallMillis = wallMillis;
     }
 
-    /** @return a time later than every time given or seen before */
+    /** @return time later than all times returned or observed before */
     public long next()
     {
         long wall = wallMillis.getAsLong() << COUNTER_BITS;
@@ -34,16 +34,16 @@
     }
 
     /**
-     * @param seen a time that came from another process
+     * @param time time received from another process
      */
-    public void observe(long seen)
+    public void observe(long time)
     {
-        last.accumulateAndGet(seen, Math::max);
+        last.accumulateAndGet(time, Math::max);
     }
 
     /**
-     * @param time a hybrid time
-     * @return its milliseconds since 1970
+     * @param time hybrid time
+     * @return milliseconds since the epoch
      */
     public static long millisOf(long time)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/event/Metrics.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/event/Metrics.java
@@ -16,15 +16,15 @@
 import io.prometheus.metrics.model.registry.PrometheusRegistry;
 
 /**
- * The metrics of one process, in a registry of its own so that several processes can share a JVM in
- * tests.
+ * Metrics of one process. They have a separate registry, so that tests can run several processes in
+ * one JVM.
  */
 public final class Metrics
 {
-    /** The media type of {@link #scrape}. */
+    /** Media type of {@link #scrape}. */
     public static final String CONTENT_TYPE = PrometheusTextFormatWriter.CONTENT_TYPE;
-    private static final double[] SECONDS = {0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1, 0.2, 0.5, 1,
-            2, 5, 10};
+    private static final double[] BUCKET_BOUNDS_SECONDS = {0.0005, 0.001, 0.002, 0.005, 0.01, 0.02, 0.05, 0.1,
+            0.2, 0.5, 1, 2, 5, 10};
 
     private static final double NANOS_PER_SECOND = 1e9;
 
@@ -34,13 +34,13 @@
             .register(registry);
     private final Histogram waiting = Histogram.builder().name("gaugehollow_waiting_seconds")
             .help("Time a task waited for its placement, by class and policy.").labelNames("class", "policy")
-            .classicOnly().classicUpperBounds(SECONDS).register(registry);
+            .classicOnly().classicUpperBounds(BUCKET_BOUNDS_SECONDS).register(registry);
     private final Counter jobCalls = Counter.builder().name("gaugehollow_job_calls_total")
             .help("Calls about jobs, by what was asked and result code.").labelNames("call", "code")
             .register(registry);
     private final Histogram jobSeconds = Histogram.builder().name("gaugehollow_job_call_seconds")
             .help("Time until a call about a job was answered.").labelNames("call").classicOnly()
-            .classicUpperBounds(SECONDS).register(registry);
+            .classicUpperBounds(BUCKET_BOUNDS_SECONDS).register(registry);
     private final Counter storeCalls = Counter.builder().name("gaugehollow_store_calls_total")
             .help("Calls to the platform's service, by kind and result.").labelNames("kind", "result")
             .register(registry);
@@ -53,11 +53,11 @@
             .register(registry);
 
     /**
-     * Notes one call about a job.
+     * Records a call of the job API.
      *
-     * @param call what was asked
-     * @param code the result code's name
-     * @param nanos how long it took, in nanoseconds
+     * @param call name of the call
+     * @param code name of the result code
+     * @param nanos duration in nanoseconds
      */
     public void jobCall(String call, String code, long nanos)
     {
@@ -66,59 +66,59 @@
     }
 
     /**
-     * Notes one logged event.
+     * Counts a logged event.
      *
-     * @param type which event
+     * @param type event type
      */
-    void event(EventType type)
+    void recordEvent(EventType type)
     {
         events.labelValues(type.name()).inc();
     }
 
-    /** @return requests answered */
+    /** @return counter of answered requests */
     public Counter results()
     {
         return results;
     }
 
-    /** @return waiting times */
+    /** @return histogram of waiting times */
     public Histogram waiting()
     {
         return waiting;
     }
 
-    /** @return calls to the store */
+    /** @return counter of calls to the store */
     public Counter storeCalls()
     {
         return storeCalls;
     }
 
-    /** @return bytes sent to peers */
+    /** @return counter of bytes sent to peers */
     public Counter peerBytes()
     {
         return peerBytes;
     }
 
-    /** @return tries after "not run" */
+    /** @return counter of retries */
     public Counter retries()
     {
         return retries;
     }
 
     /**
-     * Adds a gauge that is read when scraped.
+     * Adds a gauge whose value is read on each scrape.
      *
-     * @param name its name
-     * @param help one sentence
-     * @param value reads it
+     * @param name metric name
+     * @param help one-sentence description
+     * @param value supplies the value
      */
     public void gauge(String name, String help, DoubleSupplier value)
     {
-        GaugeWithCallback.builder().name(name).help(help).callback(c -> c.call(value.getAsDouble()))
-                .register(registry);
+        GaugeWithCallback.builder().name(name).help(help)
+                .callback(callback -> callback.call(value.getAsDouble())).register(registry);
     }
 
-    /** @return all metrics in the text format */
+    /** @return all metrics in the Prometheus text format */
     public byte[] scrape()
     {
         ByteArrayOutputStream out = new ByteArrayOutputStream();
--- a/gaugehollow/src/main/java/org/gaugehollow/model/AssignmentMap.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/AssignmentMap.java
@@ -12,14 +12,14 @@
 import java.util.TreeMap;
 
 /**
- * Who owns what in one data hall. It is one value in the platform's service, changed by
- * compare-and-swap only when membership changes.
+ * Owners of the workers and key slots of one data hall. The map is stored as one value in the
+ * platform's key-value service and is changed by compare-and-swap when membership changes.
  *
- * @param epoch rises with every change; the fencing token of an assignment is the epoch it was made
- *            in
- * @param boxes the entry boxes by id, in the order in which each one's successor follows it
- * @param workers the owner of each worker
- * @param slotOwners the box that owns each key slot
+ * @param epoch version of the map, increased with every change; an assignment's fencing token is
+ *            the epoch in which it was made
+ * @param boxes entry boxes by id; each box is followed by its successor
+ * @param workers owner of each worker, by worker id
+ * @param slotOwners owner of each key slot, by slot number
  */
 public record AssignmentMap(long epoch, Map<String, Member> boxes, Map<String, Assignment> workers,
         List<Assignment> slotOwners)
@@ -27,8 +27,8 @@
     /**
      * A box of the map.
      *
-     * @param id its id, unique to one run of the process
-     * @param peerAddress where its peers reach it
+     * @param id id of the box, unique to one run of its process
+     * @param peerAddress address on which peers reach the box
      */
     public record Member(String id, String peerAddress)
     {
@@ -37,8 +37,8 @@
     /**
      * The owner of a worker or of a key slot.
      *
-     * @param box the owner
-     * @param epoch the epoch since which it is the owner
+     * @param box id of the owning box
+     * @param epoch epoch in which the assignment was made
      */
     public record Assignment(String box, long epoch)
     {
@@ -53,39 +53,40 @@
     }
 
     /**
-     * The map of a hall with one box, which owns every key slot.
+     * Creates the map of a data hall with one box, which owns every key slot.
      *
-     * @param first the box
-     * @return the first map
+     * @param box the first box of the data hall
+     * @return the initial map
      */
-    public static AssignmentMap initial(Member first)
+    public static AssignmentMap initial(Member box)
     {
         List<Assignment> owners = new ArrayList<>();
         for (int i = 0; i < KeySlots.COUNT; i++)
         {
-            owners.add(new Assignment(first.id(), 1));
+            owners.add(new Assignment(box.id(), 1));
         }
-        return new AssignmentMap(1, Map.of(first.id(), first), Map.of(), owners);
+        return new AssignmentMap(1, Map.of(box.id(), box), Map.of(), owners);
     }
 
     /**
-     * @param box a box
-     * @return the box that follows it and keeps the copies of its records, if there is another
+     * @param box id of a box
+     * @return id of the next box, which keeps the replicas of its key records; empty if there is no
+     *         other box
      */
     public Optional<String> successorOf(String box)
     {
-        List<String> ring = new ArrayList<>(boxes.keySet());
-        int at = ring.indexOf(box);
-        if (at < 0 || ring.size() < 2)
+        List<String> boxIds = new ArrayList<>(boxes.keySet());
+        int index = boxIds.indexOf(box);
+        if (index < 0 || boxIds.size() < 2)
         {
             return Optional.empty();
         }
-        return Optional.of(ring.get((at + 1) % ring.size()));
+        return Optional.of(boxIds.get((index + 1) % boxIds.size()));
     }
 
     /**
-     * @param box a box
-     * @return the key slots it owns
+     * @param box id of a box
+     * @return numbers of the key slots that the box owns
      */
     public List<Integer> slotsOf(String box)
     {
@@ -101,22 +102,22 @@
     }
 
     /**
-     * @param box a box
-     * @return the workers it owns
+     * @param box id of a box
+     * @return ids of the workers that the box owns
      */
     public List<String> workersOf(String box)
     {
-        return workers.entrySet().stream().filter(e -> e.getValue().box().equals(box)).map(Map.Entry::getKey)
-                .toList();
+        return workers.entrySet().stream().filter(entry -> entry.getValue().box().equals(box))
+                .map(Map.Entry::getKey).toList();
     }
 
-    /** @return how many boxes make a majority of this map */
+    /** @return number of boxes that form a majority */
     public int majority()
     {
         return boxes.size() / 2 + 1;
     }
 
-    /** @return how many boxes meet every majority of this map in at least one box */
+    /** @return smallest number of boxes that intersects every majority */
     public int takeoverQuorum()
     {
         return boxes.size() - majority() + 1;
--- a/gaugehollow/src/main/java/org/gaugehollow/model/Checks.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/Checks.java
@@ -6,37 +6,37 @@
 
 import java.util.regex.Pattern;
 
-/** Checks that the constructors of resources and settings share. */
+/** Argument checks for resource and settings records. */
 public final class Checks
 {
-    private static final int LONGEST_SHOWN = 80;
-    private static final Pattern NAME = Pattern.compile("[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?");
+    private static final int MAX_QUOTED_LENGTH = 80;
+    private static final Pattern NAME_PATTERN = Pattern.compile("[a-z0-9]([a-z0-9-]{0,61}[a-z0-9])?");
 
     private Checks()
     {
     }
 
     /**
-     * @param value the number
-     * @param low the least allowed
-     * @param high the most allowed
-     * @param key the key it stands under
-     * @return the number
+     * @param value number to check
+     * @param min smallest allowed value
+     * @param max largest allowed value
+     * @param key key named in the error message
+     * @return the value
      */
-    public static long range(long value, long low, long high, String key)
+    public static long range(long value, long min, long max, String key)
     {
-        if (value < low || value > high)
+        if (value < min || value > max)
         {
             throw new GaugehollowException(ResultCode.RESOURCE_INVALID,
-                    key + ": expected " + low + " to " + high + ", found " + value);
+                    key + ": expected " + min + " to " + max + ", found " + value);
         }
         return value;
     }
 
     /**
-     * @param <T> the type
-     * @param value the value
-     * @param key the key it stands under
+     * @param <T> type of the value
+     * @param value value to check
+     * @param key key named in the error message
      * @return the value, never null
      */
     public static <T> T present(T value, String key)
@@ -49,14 +49,14 @@
     }
 
     /**
-     * @param name a resource's name
-     * @param key the key it stands under
+     * @param name resource name to check
+     * @param key key named in the error message
      * @return the name
      */
     public static String name(String name, String key)
     {
         present(name, key);
-        if (!NAME.matcher(name).matches())
+        if (!NAME_PATTERN.matcher(name).matches())
         {
             throw new GaugehollowException(ResultCode.RESOURCE_INVALID,
                     key + ": expected 1 to 63 lower-case letters, digits and hyphens, found " + quoted(name));
@@ -66,7 +66,9 @@
 
     private static String quoted(String text)
     {
-        String shown = text.length() > LONGEST_SHOWN ? text.substring(0, LONGEST_SHOWN) + "..." : text;
+        String shown = text.length() > MAX_QUOTED_LENGTH
+                ? text.substring(0, MAX_QUOTED_LENGTH) + "..."
+                : text;
         return '"' + shown.replaceAll("[^\\x20-\\x7e]", "?") + '"';
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/model/ComparisonSpec.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/ComparisonSpec.java
@@ -5,16 +5,16 @@
 package org.gaugehollow.model;
 
 /**
- * Splits one class of work between two policies by key hash.
+ * Splits the requests of one task class between two policies by key hash.
  *
- * @param taskClass the class
- * @param first the name of the first policy
- * @param second the name of the second policy
- * @param secondPercent how many of a hundred requests the second policy decides
+ * @param taskClass task class to split
+ * @param first name of the first policy
+ * @param second name of the second policy
+ * @param secondPercent percentage of requests that the second policy places
  */
 public record ComparisonSpec(TaskClass taskClass, String first, String second, int secondPercent)
 {
-    /** Checks that all is named and in range. */
+    /** Checks that the class and the policies are present and the percentage is in range. */
     public ComparisonSpec
     {
         Checks.present(taskClass, "taskClass");
--- a/gaugehollow/src/main/java/org/gaugehollow/model/ComputeResources.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/ComputeResources.java
@@ -5,29 +5,30 @@
 package org.gaugehollow.model;
 
 /**
- * Amounts of what a worker holds and a task needs.
+ * Compute resources that a worker offers or a task needs.
  *
- * @param slots how many requests at once
- * @param cpuMillis thousandths of a processor
+ * @param slots number of concurrent requests
+ * @param cpuMillis CPU in thousandths of a processor
  * @param memoryMib memory in MiB
- * @param accelerators whole accelerators
+ * @param accelerators number of accelerators
  */
 public record ComputeResources(int slots, int cpuMillis, int memoryMib, int accelerators)
 {
-    /** Nothing at all. */
+    /** No resources. */
     public static final ComputeResources NONE = new ComputeResources(0, 0, 0, 0);
 
-    /** Checks that no amount is negative. */
+    /** Checks that no component is negative. */
     public ComputeResources
     {
         if (slots < 0 || cpuMillis < 0 || memoryMib < 0 || accelerators < 0)
         {
-            throw new GaugehollowException(ResultCode.RESOURCE_INVALID, "amounts must not be negative");
+            throw new GaugehollowException(ResultCode.RESOURCE_INVALID,
+                    "compute resources must not be negative");
         }
     }
 
     /**
-     * @param other what is to be added
+     * @param other resources to add
      * @return the sum
      */
     public ComputeResources plus(ComputeResources other)
@@ -37,8 +38,8 @@
     }
 
     /**
-     * @param other what is taken away; it must fit
-     * @return the rest
+     * @param other resources to subtract; must not exceed these
+     * @return the difference
      */
     public ComputeResources minus(ComputeResources other)
     {
@@ -47,8 +48,8 @@
     }
 
     /**
-     * @param count how many times, not negative
-     * @return that many times the amounts
+     * @param count factor, not negative
+     * @return the resources multiplied by the factor
      */
     public ComputeResources times(int count)
     {
@@ -57,8 +58,8 @@
     }
 
     /**
-     * @param demand what a task needs
-     * @return whether all of it is here
+     * @param demand resources that a task needs
+     * @return whether these resources cover the demand
      */
     public boolean fits(ComputeResources demand)
     {
@@ -67,10 +68,10 @@
     }
 
     /**
-     * Takes away as much as there is, never below zero.
+     * Subtracts resources; no component of the result falls below zero.
      *
-     * @param other what is taken away
-     * @return the rest
+     * @param other resources to subtract
+     * @return the difference
      */
     public ComputeResources minusClamped(ComputeResources other)
     {
@@ -80,8 +81,8 @@
     }
 
     /**
-     * @param other other amounts
-     * @return of each amount, the larger one
+     * @param other resources to compare with
+     * @return the larger value of each component
      */
     public ComputeResources max(ComputeResources other)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/model/ConfigEntry.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/ConfigEntry.java
@@ -5,11 +5,11 @@
 package org.gaugehollow.model;
 
 /**
- * One key of the configuration at one revision.
+ * A configuration key at one revision.
  *
- * @param name the key below the configuration's prefix, such as {@code workloads/goal}
- * @param revision the store's revision of the change
- * @param envelope the stored bytes; empty for a deletion
+ * @param name key relative to the configuration's prefix, such as {@code workloads/goal}
+ * @param revision store revision of the change
+ * @param envelope stored bytes; empty for a deletion
  * @param deleted whether the change removed the key
  */
 public record ConfigEntry(String name, long revision, byte[] envelope, boolean deleted)
--- a/gaugehollow/src/main/java/org/gaugehollow/model/Envelope.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/Envelope.java
@@ -10,16 +10,16 @@
 import com.fasterxml.jackson.databind.JsonNode;
 
 /**
- * What the store holds under a resource's key: its content and the ids of the last writes, so that
- * a writer whose answer was lost can see whether its write was applied.
+ * Stored form of a resource: its content and the ids of its latest writes. A writer that got no
+ * response uses the ids to find out whether its write was applied.
  *
- * @param writeId the id of the write that made this version
- * @param recentWriteIds the ids of the writes before it, newest first
- * @param spec the content
+ * @param writeId id of the write that created this version
+ * @param recentWriteIds ids of the preceding writes, newest first
+ * @param spec content of the resource
  */
 public record Envelope(String writeId, List<String> recentWriteIds, JsonNode spec)
 {
-    private static final int REMEMBERED_WRITES = 16;
+    private static final int MAX_RECENT_WRITES = 16;
 
     /** Copies the list. */
     public Envelope
@@ -28,23 +28,23 @@
     }
 
     /**
-     * @param id the id of the next write
-     * @param content its content
-     * @return the envelope that follows this one
+     * @param id id of the next write
+     * @param content new content
+     * @return envelope of the next version
      */
     public Envelope next(String id, JsonNode content)
     {
         List<String> recent = new ArrayList<>();
         recent.add(writeId);
         recent.addAll(recentWriteIds);
-        return new Envelope(id, recent.subList(0, Math.min(recent.size(), REMEMBERED_WRITES)), content);
+        return new Envelope(id, recent.subList(0, Math.min(recent.size(), MAX_RECENT_WRITES)), content);
     }
 
     /**
-     * @param id a write's id
+     * @param id id of a write
      * @return whether that write was applied
      */
-    public boolean holds(String id)
+    public boolean hasApplied(String id)
     {
         return id.equals(writeId) || recentWriteIds.contains(id);
     }
--- a/gaugehollow/src/main/java/org/gaugehollow/model/GaugehollowException.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/GaugehollowException.java
@@ -4,7 +4,7 @@
  */
 package org.gaugehollow.model;
 
-/** The one exception of this project: unchecked, with a numbered result code. */
+/** Unchecked exception that carries a numbered result code. */
 public final class GaugehollowException extends RuntimeException
 {
     private static final long serialVersionUID = 1L;
@@ -12,8 +12,8 @@
     private final ResultCode code;
 
     /**
-     * @param code the numbered result
-     * @param message what happened, for people
+     * @param code result code
+     * @param message detail message
      */
     public GaugehollowException(ResultCode code, String message)
     {
@@ -22,9 +22,9 @@
     }
 
     /**
-     * @param code the numbered result
-     * @param message what happened, for people
-     * @param cause the fault underneath
+     * @param code result code
+     * @param message detail message
+     * @param cause underlying cause
      */
     public GaugehollowException(ResultCode code, String message, Throwable cause)
     {
@@ -32,7 +32,7 @@
         this.code = code;
     }
 
-    /** @return the numbered result */
+    /** @return result code */
     public ResultCode code()
     {
         return code;
--- a/gaugehollow/src/main/java/org/gaugehollow/model/Json.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/Json.java
@@ -22,7 +22,7 @@
 import com.fasterxml.jackson.databind.exc.UnrecognizedPropertyException;
 import com.fasterxml.jackson.databind.json.JsonMapper;
 
-/** Strict JSON reading and writing: unknown keys, wrong types and trailing text are refused. */
+/** Strict JSON reading and writing: unknown keys, wrong types and trailing text are rejected. */
 public final class Json
 {
     private static final ObjectMapper MAPPER = JsonMapper.builder()
@@ -41,19 +41,19 @@
     {
     }
 
-    /** @return the shared mapper, for trees */
+    /** @return the shared mapper, for working with JSON trees */
     public static ObjectMapper mapper()
     {
         return MAPPER;
     }
 
     /**
-     * Reads a value strictly.
+     * Parses a value strictly.
      *
-     * @param <T> the type
+     * @param <T> type of the value
      * @param bytes UTF-8 JSON
-     * @param type the type to read
-     * @param code the code to fail with
+     * @param type class of the value
+     * @param code result code of the exception on failure
      * @return the value, never null
      * @throws GaugehollowException if the bytes are not a valid value of the type
      */
@@ -70,23 +70,23 @@
         }
         catch (JsonProcessingException e)
         {
-            GaugehollowException own = ownCauseOf(e);
-            if (own != null)
+            GaugehollowException projectException = findProjectException(e);
+            if (projectException != null)
             {
-                throw new GaugehollowException(code, own.getMessage(), own);
+                throw new GaugehollowException(code, projectException.getMessage(), projectException);
             }
             throw new GaugehollowException(code, describe(e), e);
         }
         catch (IOException e)
         {
-            throw new GaugehollowException(code, "cannot be read: " + e.getMessage(), e);
+            throw new GaugehollowException(code, "cannot read JSON: " + e.getMessage(), e);
         }
     }
 
     /**
-     * Writes a value.
+     * Serializes a value.
      *
-     * @param value any value that the mapper can write
+     * @param value value to serialize
      * @return UTF-8 JSON
      */
     public static byte[] write(Object value)
@@ -97,15 +97,15 @@
         }
         catch (JsonProcessingException e)
         {
-            throw new GaugehollowException(ResultCode.INTERNAL, "a value cannot be written as JSON", e);
+            throw new GaugehollowException(ResultCode.INTERNAL, "cannot serialize value as JSON", e);
         }
     }
 
     /**
-     * Says in one line which key is wrong and what was expected.
+     * Describes a parse error in one line: the path of the invalid key and what was expected.
      *
-     * @param e the mapper's complaint
-     * @return one line
+     * @param e parse error
+     * @return description in one line
      */
     public static String describe(JsonProcessingException e)
     {
@@ -124,19 +124,21 @@
         if (e instanceof JsonMappingException mapping && !mapping.getPath().isEmpty())
         {
             return mapping.getPath().stream()
-                    .map(r -> r.getFieldName() != null ? r.getFieldName() : "[" + r.getIndex() + "]")
+                    .map(reference -> reference.getFieldName() != null
+                            ? reference.getFieldName()
+                            : "[" + reference.getIndex() + "]")
                     .collect(Collectors.joining(".")) + ": ";
         }
         return "";
     }
 
-    private static GaugehollowException ownCauseOf(Throwable e)
+    private static GaugehollowException findProjectException(Throwable e)
     {
         for (Throwable cause = e.getCause(); cause != null; cause = cause.getCause())
         {
-            if (cause instanceof GaugehollowException own)
+            if (cause instanceof GaugehollowException projectException)
             {
-                return own;
+                return projectException;
             }
         }
         return null;
--- a/gaugehollow/src/main/java/org/gaugehollow/model/KeySlots.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/KeySlots.java
@@ -8,10 +8,10 @@
 
 import net.openhft.hashing.LongHashFunction;
 
-/** Divides the keys of a hall into a fixed number of ranges (slots of the key space). */
+/** Maps the idempotency keys of a data hall to a fixed number of key slots. */
 public final class KeySlots
 {
-    /** How many key slots a hall has. */
+    /** Number of key slots in a data hall. */
     public static final int COUNT = 64;
 
     private static final LongHashFunction HASH = LongHashFunction.xx3();
@@ -21,9 +21,9 @@
     }
 
     /**
-     * @param team the caller's team
-     * @param key the key of the request
-     * @return the slot, from 0 to {@link #COUNT} - 1
+     * @param team team of the caller
+     * @param key idempotency key of the request
+     * @return slot number from 0 to {@link #COUNT} - 1
      */
     public static int slotOf(String team, String key)
     {
@@ -32,7 +32,7 @@
 
     /**
      * @param text any text
-     * @return its 64-bit hash, the same in every process
+     * @return 64-bit hash that is the same in every process
      */
     public static long hash(String text)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/model/Outcome.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/Outcome.java
@@ -4,14 +4,14 @@
  */
 package org.gaugehollow.model;
 
-/** What is known of a request at the moment its caller is answered. */
+/** Outcome of a request as known when its caller is answered. */
 public enum Outcome
 {
-    /** The request ran and this is its whole answer. */
+    /** The request ran and the answer is complete. */
     ANSWERED("answered"),
-    /** The request did not run on any upstream and never will under this task id. */
+    /** The request did not run on any upstream and will not run under this task id. */
     NOT_RUN("not-run"),
-    /** The request may have run; asking again with the same key may tell more. */
+    /** The request may have run; a retry with the same key may return the outcome. */
     UNKNOWN("unknown");
 
     private final String label;
@@ -21,7 +21,7 @@
         this.label = label;
     }
 
-    /** @return the word used in answers and headers */
+    /** @return label used in answers and headers */
     public String label()
     {
         return label;
--- a/gaugehollow/src/main/java/org/gaugehollow/model/PolicySpec.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/PolicySpec.java
@@ -8,16 +8,16 @@
 import java.util.Map;
 
 /**
- * A placement policy and the classes it governs. Where two policies name the same class, the one
- * changed last governs it.
+ * A placement policy and the task classes that use it. If two policies name the same class, the one
+ * changed last applies.
  *
- * @param type the policy's registered name, such as {@code waiting-first}
- * @param classes the classes it governs
- * @param parameters numbers that the policy understands
+ * @param type registered name of the policy, such as {@code waiting-first}
+ * @param classes task classes that use the policy
+ * @param parameters numeric parameters of the policy
  */
 public record PolicySpec(String type, List<TaskClass> classes, Map<String, Double> parameters)
 {
-    /** Checks that a type is named; the registry of policies checks type and parameters. */
+    /** Checks that the type is present; the policy registry checks its value and the parameters. */
     public PolicySpec
     {
         Checks.present(type, "type");
--- a/gaugehollow/src/main/java/org/gaugehollow/model/ResourceKind.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/ResourceKind.java
@@ -6,16 +6,16 @@
 
 import java.util.Optional;
 
-/** The kinds of resource that operators create. */
+/** Kinds of resources that operators create. */
 public enum ResourceKind
 {
-    /** A sort of request or task with its class, needs and limits. */
+    /** A type of request with its task class, compute resources and limits. */
     WORKLOAD("workloads", WorkloadSpec.class),
-    /** A placement policy and the classes it governs. */
+    /** A placement policy and the task classes that use it. */
     POLICY("policies", PolicySpec.class),
-    /** A class split between two policies. */
+    /** A task class whose requests are split between two policies. */
     COMPARISON("comparisons", ComparisonSpec.class),
-    /** A team of callers with its home hall and quota. */
+    /** A team of callers with its home data hall and quota. */
     TEAM("teams", TeamSpec.class);
 
     private final String plural;
@@ -27,21 +27,21 @@
         this.specType = specType;
     }
 
-    /** @return the word in paths and store keys */
+    /** @return plural name used in paths and store keys */
     public String plural()
     {
         return plural;
     }
 
-    /** @return the record that holds a resource's content */
+    /** @return class of the resource's content */
     public Class<?> specType()
     {
         return specType;
     }
 
     /**
-     * @param plural the word in a path
-     * @return the kind, if there is one
+     * @param plural plural name in a path
+     * @return the kind, if the name is known
      */
     public static Optional<ResourceKind> ofPlural(String plural)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/model/ResultCode.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/ResultCode.java
@@ -8,8 +8,8 @@
 import java.util.Map;
 
 /**
- * The numbered result codes of every surface. The number is stable; docs/ERRORS.md lists them and a
- * test holds that table equal to this one.
+ * Result codes of all APIs. The numbers are stable; docs/ERRORS.md lists the codes and a test
+ * compares that page with this enum.
  */
 public enum ResultCode
 {
@@ -118,31 +118,31 @@
         this.meaning = meaning;
     }
 
-    /** @return the stable number */
+    /** @return stable number */
     public int number()
     {
         return number;
     }
 
-    /** @return the HTTP status this code is sent with, 0 where it never travels over HTTP */
+    /** @return HTTP status sent with this code; 0 if it is never sent over HTTP */
     public int httpStatus()
     {
         return httpStatus;
     }
 
-    /** @return what the code says of the request */
+    /** @return outcome of the request that this code implies */
     public Outcome outcome()
     {
         return outcome;
     }
 
-    /** @return when asking again may help, in milliseconds; 0 where it does not */
+    /** @return delay in milliseconds after which a retry may succeed; 0 if a retry does not help */
     public int retryAfterMillis()
     {
         return retryAfterMillis;
     }
 
-    /** @return one sentence for people */
+    /** @return one-sentence description */
     public String meaning()
     {
         return meaning;
@@ -151,8 +151,8 @@
     /**
      * Finds a code by its number.
      *
-     * @param number the stable number
-     * @return the code, or {@link #INTERNAL} for a number this version does not know
+     * @param number stable number
+     * @return the code, or {@link #INTERNAL} for an unknown number
      */
     public static ResultCode ofNumber(int number)
     {
--- a/gaugehollow/src/main/java/org/gaugehollow/model/TaskClass.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/TaskClass.java
@@ -8,23 +8,23 @@
 
 import com.fasterxml.jackson.annotation.JsonProperty;
 
-/** The classes of work, most urgent first. A lower ordinal is served first and shed last. */
+/** Priority classes of tasks, most urgent first. A lower ordinal is served first and shed last. */
 public enum TaskClass
 {
-    /** Goal alerts and the like: a late answer is nearly worthless. */
+    /** Time-critical tasks such as goal alerts: a late answer has almost no value. */
     @JsonProperty("urgent")
     URGENT,
-    /** Bookings: somebody waits, seconds are tolerable. */
+    /** Bookings: a user waits, and a delay of seconds is acceptable. */
     @JsonProperty("booking")
     BOOKING,
-    /** Long-running services and feeds that stay open. */
+    /** Long-running services and open feeds. */
     @JsonProperty("service")
     SERVICE,
-    /** Rebuilds that may wait. */
+    /** Deferrable work such as rebuilds. */
     @JsonProperty("batch")
     BATCH;
 
-    /** @return the word used in resources, metrics and messages */
+    /** @return label used in resources, metrics and messages */
     public String label()
     {
         return name().toLowerCase(Locale.ROOT);
--- a/gaugehollow/src/main/java/org/gaugehollow/model/TryOutcomes.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/TryOutcomes.java
@@ -7,83 +7,83 @@
 import java.util.Optional;
 
 /**
- * What is known of a request for which several tries were made. It counts as not run only if every
- * try of it surely changed nothing: one that is under way, or that ended without a clear answer,
- * may be carried out yet. Thread-safe.
+ * Combined outcome of several attempts at one request. The request counts as not run only if every
+ * attempt certainly changed nothing; an attempt that is in progress, or that ended with an unknown
+ * outcome, may still take effect. Thread-safe.
  */
 public final class TryOutcomes
 {
-    private int open;
-    private GaugehollowException unclear;
-    private GaugehollowException newest;
+    private int attemptsInProgress;
+    private GaugehollowException firstUnknown;
+    private GaugehollowException lastFailure;
 
     /**
-     * Lets a try begin, unless one has failed before: what is told then must not become untrue by a
-     * later try.
+     * Begins an attempt, unless one has failed before: a later attempt must not invalidate the failure
+     * that was reported.
      *
-     * @return whether the try counts as under way; if not, it must not be made
+     * @return whether the attempt may be made
      */
     public synchronized boolean begin()
     {
-        if (newest != null)
+        if (lastFailure != null)
         {
             return false;
         }
-        open++;
+        attemptsInProgress++;
         return true;
     }
 
     /**
-     * A try that was under way ended without an answer.
+     * Ends an attempt that got no answer.
      *
-     * @param failure how it ended
-     * @return what is told of the request if no try is answered, once that is decided: when all tries
-     *         are over, or one may have been carried out
+     * @param failure how the attempt failed
+     * @return failure of the whole request, if it is decided: all attempts have ended, or one has an
+     *         unknown outcome
      */
     public synchronized Optional<GaugehollowException> end(GaugehollowException failure)
     {
-        open--;
+        attemptsInProgress--;
         add(failure);
-        return open == 0 || unclear != null ? Optional.of(failure()) : Optional.empty();
+        return attemptsInProgress == 0 || firstUnknown != null ? Optional.of(failure()) : Optional.empty();
     }
 
     /**
-     * Adds a try that is over.
+     * Adds an attempt that has failed.
      *
-     * @param failure how it ended
+     * @param failure how the attempt failed
      */
     public synchronized void add(GaugehollowException failure)
     {
-        newest = failure;
-        if (unclear == null && failure.code().outcome() == Outcome.UNKNOWN)
+        lastFailure = failure;
+        if (firstUnknown == null && failure.code().outcome() == Outcome.UNKNOWN)
         {
-            unclear = failure;
+            firstUnknown = failure;
         }
     }
 
-    /** @return whether the request may have run, or may run yet */
+    /** @return whether the request may have run or may still run */
     public synchronized boolean mayRun()
     {
-        return open > 0 || unclear != null;
+        return attemptsInProgress > 0 || firstUnknown != null;
     }
 
     /**
-     * @return what is told of the request as a whole: {@code STORE_OUTCOME_UNKNOWN} if it may run, else
-     *         the newest failure
-     * @throws IllegalStateException if no try is over
+     * @return failure of the whole request: {@code STORE_OUTCOME_UNKNOWN} if it may have run or may
+     *         still run, otherwise the latest failure
+     * @throws IllegalStateException if no attempt has failed
      */
     public synchronized GaugehollowException failure()
     {
-        if (newest == null)
+        if (lastFailure == null)
         {
-            throw new IllegalStateException("no try is over");
+            throw new IllegalStateException("no attempt has failed");
         }
         if (!mayRun())
         {
-            return newest;
+            return lastFailure;
         }
-        GaugehollowException told = unclear == null ? newest : unclear;
-        String others = open == 0 ? "" : "; tries still under way: " + open;
-        return new GaugehollowException(ResultCode.STORE_OUTCOME_UNKNOWN, told.getMessage() + others, told);
+        GaugehollowException cause = firstUnknown == null ? lastFailure : firstUnknown;
+        String suffix = attemptsInProgress == 0 ? "" : "; attempts still in progress: " + attemptsInProgress;
+        return new GaugehollowException(ResultCode.STORE_OUTCOME_UNKNOWN, cause.getMessage() + suffix, cause);
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/model/Worker.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/Worker.java
@@ -5,14 +5,14 @@
 package org.gaugehollow.model;
 
 /**
- * An upstream of the hall that runs tasks, as the platform's list describes it.
+ * An upstream of a data hall that runs tasks, as described by the platform's worker list.
  *
- * @param id its name
- * @param address IP number and port
- * @param hall its data hall
- * @param rack its rack
- * @param capacity what it holds
- * @param leaving whether the list says that it is leaving
+ * @param id worker id
+ * @param address IP address and port
+ * @param hall data hall
+ * @param rack rack
+ * @param capacity total compute resources
+ * @param leaving whether the worker is marked as leaving
  */
 public record Worker(String id, String address, String hall, String rack, ComputeResources capacity,
         boolean leaving)
--- a/gaugehollow/src/main/java/org/gaugehollow/model/WorkloadSpec.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/WorkloadSpec.java
@@ -5,25 +5,25 @@
 package org.gaugehollow.model;
 
 /**
- * What a workload's requests need and how they may be treated.
+ * Requirements and limits of a workload's requests.
  *
- * @param taskClass how urgent they are
- * @param needs what one request takes on a worker while it runs; one slot where none is said
- * @param timeoutMillis how long a caller that names no timeout waits
- * @param repeatable whether running a request twice does no harm
- * @param maxBodyBytes the largest body accepted
- * @param path the path asked on the upstream
+ * @param taskClass priority class
+ * @param needs compute resources that one request uses while it runs; one slot by default
+ * @param timeoutMillis default timeout of a request
+ * @param repeatable whether requests are idempotent and may run more than once
+ * @param maxBodyBytes maximum size of a request body
+ * @param path request path on the upstream
  */
 public record WorkloadSpec(TaskClass taskClass, ComputeResources needs, int timeoutMillis, boolean repeatable,
         int maxBodyBytes, String path)
 {
-    /** The largest body any workload may allow. */
+    /** Upper limit of {@code maxBodyBytes}. */
     public static final int LARGEST_BODY = 1 << 20;
     private static final int DEFAULT_TIMEOUT_MILLIS = 5_000;
-    private static final int DEFAULT_BODY = 64 << 10;
-    private static final int LONGEST_TIMEOUT_MILLIS = 600_000;
+    private static final int DEFAULT_BODY_BYTES = 64 << 10;
+    private static final int MAX_TIMEOUT_MILLIS = 600_000;
 
-    /** Checks ranges and fills in what may be left out. */
+    /** Checks ranges and sets defaults for omitted values. */
     public WorkloadSpec
     {
         Checks.present(taskClass, "taskClass");
@@ -33,9 +33,9 @@
             needs = needs.plus(new ComputeResources(1, 0, 0, 0));
         }
         timeoutMillis = timeoutMillis == 0 ? DEFAULT_TIMEOUT_MILLIS : timeoutMillis;
-        maxBodyBytes = maxBodyBytes == 0 ? DEFAULT_BODY : maxBodyBytes;
+        maxBodyBytes = maxBodyBytes == 0 ? DEFAULT_BODY_BYTES : maxBodyBytes;
         path = path == null ? "/run" : path;
-        Checks.range(timeoutMillis, 1, LONGEST_TIMEOUT_MILLIS, "timeoutMillis");
+        Checks.range(timeoutMillis, 1, MAX_TIMEOUT_MILLIS, "timeoutMillis");
         Checks.range(maxBodyBytes, 1, LARGEST_BODY, "maxBodyBytes");
         if (!path.startsWith("/") || path.chars().anyMatch(c -> c <= ' ' || c > '~'))
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/settings/EntrySettings.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/settings/EntrySettings.java
@@ -11,29 +11,30 @@
 import org.gaugehollow.net.NetAddress;
 
 /**
- * The settings of an entry box, read from a JSON file. docs/SETTINGS.md describes each key.
+ * Settings of an entry box, read from a JSON file. docs/SETTINGS.md describes each key.
  *
- * @param box the box's name
- * @param hall its data hall
- * @param region its region
- * @param callerAddress where callers reach it
- * @param operatorAddress where operators reach it
- * @param peerAddress where it listens for peers
- * @param advertisedPeerAddress where peers reach it, if that differs
- * @param sourceAddress the IP number its own connections come from, if it is to be a certain one
- * @param platform how the platform is reached
- * @param seeds peer addresses of boxes of the hall, asked when the platform does not answer at
+ * @param box name of the box
+ * @param hall data hall
+ * @param region region
+ * @param callerAddress listening address for callers
+ * @param operatorAddress listening address for operators
+ * @param peerAddress listening address for peers
+ * @param advertisedPeerAddress address on which peers reach the box, if it differs from
+ *            {@code peerAddress}
+ * @param sourceAddress local IP address of outgoing connections; null for any
+ * @param platform connection to the platform
+ * @param seeds peer addresses of boxes of the data hall, used if the platform is unreachable at
  *            start
- * @param timing the periods of membership
- * @param limits the limits of requests
+ * @param timing timing of membership
+ * @param limits request limits
  */
 public record EntrySettings(String box, String hall, String region, String callerAddress,
         String operatorAddress, String peerAddress, String advertisedPeerAddress, String sourceAddress,
         PlatformSettings platform, List<String> seeds, TimingSettings timing, LimitSettings limits)
 {
-    private static final int MOST_SEEDS = 64;
+    private static final int MAX_SEEDS = 64;
 
-    /** Checks every key and fills in what may be left out. */
+    /** Checks all values and sets defaults for omitted ones. */
     public EntrySettings
     {
         Checks.name(box, "box");
@@ -53,19 +54,19 @@
         }
         Checks.present(platform, "platform");
         seeds = seeds == null ? List.of() : List.copyOf(seeds);
-        Checks.range(seeds.size(), 0, MOST_SEEDS, "seeds");
+        Checks.range(seeds.size(), 0, MAX_SEEDS, "seeds");
         seeds.forEach(seed -> SettingChecks.address(seed, "seeds"));
         timing = timing == null ? TimingSettings.defaults() : timing;
         limits = limits == null ? LimitSettings.defaults() : limits;
     }
 
-    /** @return the address that goes into the hall's map */
+    /** @return peer address for the assignment map */
     public String reachablePeerAddress()
     {
         return advertisedPeerAddress == null ? peerAddress : advertisedPeerAddress;
     }
 
-    /** @return the source address without a port, or null */
+    /** @return local IP address of outgoing connections, or null for any */
     public InetAddress sourceIp()
     {
         return sourceAddress == null ? null : NetAddress.parse(sourceAddress + ":0").getAddress();
--- a/gaugehollow/src/main/java/org/gaugehollow/settings/LimitSettings.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/settings/LimitSettings.java
@@ -7,19 +7,19 @@
 import org.gaugehollow.model.Checks;
 
 /**
- * The limits of requests on one box.
+ * Request limits of one box.
  *
- * @param waiting how many requests may wait in all
- * @param waitingPerClass how many requests of one class may wait
- * @param batchPercent the share of slots that batch may hold
- * @param retryPercent how many tries after "not run" there may be for a hundred requests
- * @param records how many key records are kept at most
+ * @param waiting maximum number of waiting requests
+ * @param waitingPerClass maximum number of waiting requests per task class
+ * @param batchPercent maximum percentage of slots used by batch requests
+ * @param retryPercent maximum number of retries per hundred requests
+ * @param records maximum number of key records
  */
 public record LimitSettings(int waiting, int waitingPerClass, int batchPercent, int retryPercent, int records)
 {
-    private static final int MOST = 10_000_000;
+    private static final int MAX_VALUE = 10_000_000;
 
-    /** Checks every key and fills in what may be left out. */
+    /** Checks all values and sets defaults for omitted ones. */
     public LimitSettings
     {
         waiting = waiting == 0 ? 2_000 : waiting;
@@ -27,14 +27,14 @@
         batchPercent = batchPercent == 0 ? 85 : batchPercent;
         retryPercent = retryPercent == 0 ? 20 : retryPercent;
         records = records == 0 ? 100_000 : records;
-        Checks.range(waiting, 1, MOST, "limits.waiting");
-        Checks.range(waitingPerClass, 1, MOST, "limits.waitingPerClass");
+        Checks.range(waiting, 1, MAX_VALUE, "limits.waiting");
+        Checks.range(waitingPerClass, 1, MAX_VALUE, "limits.waitingPerClass");
         Checks.range(batchPercent, 1, 100, "limits.batchPercent");
         Checks.range(retryPercent, 1, 100, "limits.retryPercent");
-        Checks.range(records, 1, MOST, "limits.records");
+        Checks.range(records, 1, MAX_VALUE, "limits.records");
     }
 
-    /** @return the limits that apply where the settings say nothing */
+    /** @return default limits */
     public static LimitSettings defaults()
     {
         return new LimitSettings(0, 0, 0, 0, 0);
--- a/gaugehollow/src/main/java/org/gaugehollow/settings/PlatformSettings.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/settings/PlatformSettings.java
@@ -7,30 +7,30 @@
 import org.gaugehollow.model.Checks;
 
 /**
- * How a box reaches the platform.
+ * Settings of the connection to the platform.
  *
- * @param storeAddress the key-value service
- * @param rosterAddress the list of workers
- * @param rosterPath the list's path
- * @param timeoutMillis how long one call may take
- * @param callsPerSecond this box's share of the service's calls
+ * @param storeAddress address of the key-value service
+ * @param rosterAddress address of the worker list
+ * @param rosterPath path of the worker list
+ * @param timeoutMillis timeout of one call
+ * @param callsPerSecond maximum rate of this box's calls to the key-value service
  */
 public record PlatformSettings(String storeAddress, String rosterAddress, String rosterPath,
         int timeoutMillis, int callsPerSecond)
 {
-    private static final int DEFAULT_TIMEOUT = 1_000;
-    private static final int DEFAULT_CALLS = 30;
-    private static final int MOST = 60_000;
+    private static final int DEFAULT_TIMEOUT_MILLIS = 1_000;
+    private static final int DEFAULT_CALLS_PER_SECOND = 30;
+    private static final int MAX_VALUE = 60_000;
 
-    /** Checks every key and fills in what may be left out. */
+    /** Checks all values and sets defaults for omitted ones. */
     public PlatformSettings
     {
         SettingChecks.address(storeAddress, "platform.storeAddress");
         SettingChecks.address(rosterAddress, "platform.rosterAddress");
         rosterPath = rosterPath == null ? "/v1/workers" : rosterPath;
-        timeoutMillis = timeoutMillis == 0 ? DEFAULT_TIMEOUT : timeoutMillis;
-        callsPerSecond = callsPerSecond == 0 ? DEFAULT_CALLS : callsPerSecond;
-        Checks.range(timeoutMillis, 10, MOST, "platform.timeoutMillis");
-        Checks.range(callsPerSecond, 1, MOST, "platform.callsPerSecond");
+        timeoutMillis = timeoutMillis == 0 ? DEFAULT_TIMEOUT_MILLIS : timeoutMillis;
+        callsPerSecond = callsPerSecond == 0 ? DEFAULT_CALLS_PER_SECOND : callsPerSecond;
+        Checks.range(timeoutMillis, 10, MAX_VALUE, "platform.timeoutMillis");
+        Checks.range(callsPerSecond, 1, MAX_VALUE, "platform.callsPerSecond");
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/settings/SettingChecks.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/settings/SettingChecks.java
@@ -8,7 +8,7 @@
 import org.gaugehollow.model.ResultCode;
 import org.gaugehollow.net.NetAddress;
 
-/** Checks that the settings records share. */
+/** Checks used by the settings records. */
 final class SettingChecks
 {
     private SettingChecks()
--- a/gaugehollow/src/main/java/org/gaugehollow/settings/SettingsReader.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/settings/SettingsReader.java
@@ -18,7 +18,7 @@
 import com.fasterxml.jackson.databind.exc.MismatchedInputException;
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Reads settings files and says in one line what is wrong with one. */
+/** Reads and validates settings files; an error message is one line that names the key. */
 public final class SettingsReader
 {
     private SettingsReader()
@@ -26,13 +26,14 @@
     }
 
     /**
-     * Reads and checks a file.
+     * Reads and validates a file.
      *
-     * @param <T> the record
-     * @param file the file
-     * @param type the record that describes it
-     * @return the checked settings
-     * @throws GaugehollowException with a code of the 1000s and one line that names the key
+     * @param <T> type of the settings
+     * @param file settings file
+     * @param type record class of the settings
+     * @return the settings
+     * @throws GaugehollowException with a code in the 1000s and a message of one line that names the
+     *             key
      */
     public static <T> T read(Path file, Class<T> type)
     {
@@ -50,13 +51,14 @@
     }
 
     /**
-     * Checks settings that were read already.
+     * Parses and validates settings.
      *
-     * @param <T> the record
+     * @param <T> type of the settings
      * @param bytes UTF-8 JSON
-     * @param type the record that describes it
-     * @return the checked settings
-     * @throws GaugehollowException with a code of the 1000s and one line that names the key
+     * @param type record class of the settings
+     * @return the settings
+     * @throws GaugehollowException with a code in the 1000s and a message of one line that names the
+     *             key
      */
     public static <T> T parse(byte[] bytes, Class<T> type)
     {
@@ -71,7 +73,10 @@
         }
     }
 
-    /** A misspelt key is named before a missing one is, since it is the likelier fault. */
+    /**
+     * Rejects unknown keys. Runs before parsing, so that a misspelt key isn't reported as a missing
+     * one.
+     */
     private static void checkKeys(JsonNode node, Class<?> type, String path)
     {
         Map<String, Class<?>> known = new TreeMap<>();
--- a/gaugehollow/src/main/java/org/gaugehollow/settings/TimingSettings.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/settings/TimingSettings.java
@@ -9,25 +9,25 @@
 import org.gaugehollow.model.ResultCode;
 
 /**
- * The periods of membership. All boxes of a hall must have the same.
+ * Timing of membership. All boxes of a data hall must use the same values.
  *
- * @param leaseSeconds how long the store keeps a silent box's lease
- * @param leaseMarginMillis how long before the store's end a box ends its own rights
- * @param pingMillis how often peers are asked
- * @param witnessMillis how long a peer's word counts that the store answers nobody
- * @param rosterMillis how often the platform's list is read
- * @param recordSeconds how long the record of a key is kept
- * @param clockSkewMillis how far callers' clocks may be from the boxes'
- * @param drainSeconds how long a planned stop waits for requests in flight
- * @param abandonSeconds after how long without its quorum a take-over goes ahead; 0 for never
+ * @param leaseSeconds duration of a box's lease in the store
+ * @param leaseMarginMillis time before the lease expires at which a box gives up its rights
+ * @param pingMillis interval between pings to a peer
+ * @param witnessMillis validity of a peer's confirmation during a store outage
+ * @param rosterMillis interval between reads of the worker list
+ * @param recordSeconds retention time of a key record
+ * @param clockSkewMillis maximum difference between the clocks of callers and boxes
+ * @param drainSeconds maximum time that a planned stop waits for requests in flight
+ * @param abandonSeconds time after which a takeover proceeds without its quorum; 0 for never
  */
 public record TimingSettings(int leaseSeconds, int leaseMarginMillis, int pingMillis, int witnessMillis,
         int rosterMillis, int recordSeconds, int clockSkewMillis, int drainSeconds, Integer abandonSeconds)
 {
-    private static final int MILLIS = 1_000;
-    private static final int HOUR = 3_600;
+    private static final int MILLIS_PER_SECOND = 1_000;
+    private static final int SECONDS_PER_HOUR = 3_600;
 
-    /** Checks every key and fills in what may be left out. */
+    /** Checks all values and sets defaults for omitted ones. */
     public TimingSettings
     {
         leaseSeconds = orDefault(leaseSeconds, 5);
@@ -40,14 +40,14 @@
         drainSeconds = orDefault(drainSeconds, 20);
         abandonSeconds = abandonSeconds == null ? 30 : abandonSeconds;
         Checks.range(leaseSeconds, 1, 60, "timing.leaseSeconds");
-        Checks.range(leaseMarginMillis, 50, leaseSeconds * MILLIS / 2, "timing.leaseMarginMillis");
+        Checks.range(leaseMarginMillis, 50, leaseSeconds * MILLIS_PER_SECOND / 2, "timing.leaseMarginMillis");
         Checks.range(pingMillis, 20, 5_000, "timing.pingMillis");
         Checks.range(witnessMillis, 3 * pingMillis, 60_000, "timing.witnessMillis");
         Checks.range(rosterMillis, 50, 60_000, "timing.rosterMillis");
-        Checks.range(recordSeconds, 1, 24 * HOUR, "timing.recordSeconds");
+        Checks.range(recordSeconds, 1, 24 * SECONDS_PER_HOUR, "timing.recordSeconds");
         Checks.range(clockSkewMillis, 1, 60_000, "timing.clockSkewMillis");
-        Checks.range(drainSeconds, 1, HOUR, "timing.drainSeconds");
-        Checks.range(abandonSeconds, 0, 24 * HOUR, "timing.abandonSeconds");
+        Checks.range(drainSeconds, 1, SECONDS_PER_HOUR, "timing.drainSeconds");
+        Checks.range(abandonSeconds, 0, 24 * SECONDS_PER_HOUR, "timing.abandonSeconds");
         if (abandonSeconds > 0 && abandonSeconds <= leaseSeconds)
         {
             throw new GaugehollowException(ResultCode.SETTINGS_RANGE,
@@ -55,7 +55,7 @@
         }
     }
 
-    /** @return the periods that apply where the settings say nothing */
+    /** @return default timing */
     public static TimingSettings defaults()
     {
         return new TimingSettings(0, 0, 0, 0, 0, 0, 0, 0, null);
--- a/gaugehollow/src/main/java/org/gaugehollow/supervise/SupervisedTask.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/supervise/SupervisedTask.java
@@ -4,14 +4,14 @@
  */
 package org.gaugehollow.supervise;
 
-/** A task that runs until it is interrupted. */
+/** Body of a task that a {@link Supervisor} runs. */
 @FunctionalInterface
 public interface SupervisedTask
 {
     /**
-     * Runs until the work is over or the thread is interrupted.
+     * Runs until the work is finished or the thread is interrupted.
      *
-     * @throws InterruptedException when it is stopped
+     * @throws InterruptedException if the thread is interrupted
      */
     void run() throws InterruptedException;
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/supervise/Supervisor.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/supervise/Supervisor.java
@@ -14,26 +14,25 @@
 import org.gaugehollow.time.SteadyClock;
 
 /**
- * One node of the supervisor tree: runs tasks on virtual threads, starts a failed one again after a
- * growing pause, and stops its tasks and child nodes in the reverse order of their start.
- * Thread-safe.
+ * Node of the supervisor tree. Runs tasks on virtual threads, restarts failed tasks with
+ * exponential backoff, and stops its tasks and child nodes in reverse start order. Thread-safe.
  */
 public final class Supervisor implements AutoCloseable
 {
-    private static final long FIRST_PAUSE_MILLIS = 50;
-    private static final long LONGEST_PAUSE_MILLIS = 5_000;
-    private static final long JOIN_MILLIS = 2_000;
-    private static final long STEADY_NANOS = 10_000_000_000L;
+    private static final long MIN_RESTART_DELAY_MILLIS = 50;
+    private static final long MAX_RESTART_DELAY_MILLIS = 5_000;
+    private static final long JOIN_TIMEOUT_MILLIS = 2_000;
+    private static final long STABLE_RUN_NANOS = 10_000_000_000L;
 
     private final String name;
     private final EventLog events;
-    private final List<AutoCloseable> order = new ArrayList<>();
+    private final List<AutoCloseable> startOrder = new ArrayList<>();
     private final Map<String, RunningTask> tasks = new HashMap<>();
     private boolean closed;
 
     /**
-     * @param name the name of this node in the log
-     * @param events where failures are recorded
+     * @param name name of this node in the log
+     * @param events records failures
      */
     public Supervisor(String name, EventLog events)
     {
@@ -42,10 +41,10 @@
     }
 
     /**
-     * Starts a task; a task that runs under this name already is stopped first.
+     * Starts a task. A running task of the same name is stopped first.
      *
-     * @param task its name
-     * @param body what it does
+     * @param task task name
+     * @param body body of the task
      */
     public synchronized void start(String task, SupervisedTask body)
     {
@@ -56,26 +55,26 @@
         stop(task);
         RunningTask running = new RunningTask(name + '/' + task, body);
         tasks.put(task, running);
-        order.add(running);
-        running.begin();
+        startOrder.add(running);
+        running.startThread();
     }
 
     /**
      * Stops a task; an unknown name is ignored.
      *
-     * @param task its name
+     * @param task task name
      */
     public synchronized void stop(String task)
     {
         RunningTask running = tasks.remove(task);
         if (running != null)
         {
-            order.remove(running);
+            startOrder.remove(running);
             running.close();
         }
     }
 
-    /** @return the names of the tasks started here */
+    /** @return names of the tasks of this node */
     public synchronized List<String> taskNames()
     {
         return List.copyOf(tasks.keySet());
@@ -84,13 +83,13 @@
     /**
      * Adds a child node.
      *
-     * @param child its name
-     * @return the child, stopped together with this node
+     * @param child name of the child
+     * @return child node, which is stopped together with this node
      */
     public synchronized Supervisor child(String child)
     {
         Supervisor node = new Supervisor(name + '/' + child, events);
-        order.add(node);
+        startOrder.add(node);
         return node;
     }
 
@@ -101,23 +100,23 @@
         synchronized (this)
         {
             closed = true;
-            toStop = new ArrayList<>(order).reversed();
+            toStop = new ArrayList<>(startOrder).reversed();
         }
-        for (AutoCloseable each : toStop)
+        for (AutoCloseable closeable : toStop)
         {
-            closeQuietly(each);
+            closeQuietly(closeable);
         }
     }
 
-    private void closeQuietly(AutoCloseable each)
+    private void closeQuietly(AutoCloseable closeable)
     {
         try
         {
-            each.close();
+            closeable.close();
         }
         catch (Exception e)
         {
-            events.record(EventType.INTERNAL_FAULT, name, "while stopping: " + e);
+            events.record(EventType.INTERNAL_FAULT, name, "failed to stop: " + e);
         }
     }
 
@@ -134,14 +133,14 @@
             this.body = body;
         }
 
-        void begin()
+        void startThread()
         {
             thread = Thread.ofVirtual().name(path).start(this::runUntilStopped);
         }
 
         private void runUntilStopped()
         {
-            long pause = FIRST_PAUSE_MILLIS;
+            long delayMillis = MIN_RESTART_DELAY_MILLIS;
             while (!Thread.currentThread().isInterrupted())
             {
                 long startedAt = SteadyClock.nanos();
@@ -158,9 +157,11 @@
                 {
                     events.record(EventType.SERVICE_FAILED, path, String.valueOf(e));
                 }
-                boolean wasSteady = SteadyClock.nanos() - startedAt > STEADY_NANOS;
-                pause = wasSteady ? FIRST_PAUSE_MILLIS : Math.min(LONGEST_PAUSE_MILLIS, pause * 2);
-                if (!sleep(pause))
+                boolean wasStable = SteadyClock.nanos() - startedAt > STABLE_RUN_NANOS;
+                delayMillis = wasStable
+                        ? MIN_RESTART_DELAY_MILLIS
+                        : Math.min(MAX_RESTART_DELAY_MILLIS, delayMillis * 2);
+                if (!sleep(delayMillis))
                 {
                     return;
                 }
@@ -190,7 +191,7 @@
             }
             try
             {
-                thread.join(JOIN_MILLIS);
+                thread.join(JOIN_TIMEOUT_MILLIS);
             }
             catch (InterruptedException e)
             {
--- a/gaugehollow/src/test/java/org/gaugehollow/ArchitectureTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/ArchitectureTest.java
@@ -14,14 +14,14 @@
 import com.tngtech.archunit.core.importer.ImportOption;
 import com.tngtech.archunit.lang.syntax.ArchRuleDefinition;
 
-/** Holds the order of the packages: a lower one never uses a higher one. */
+/** Checks the layering of the packages and restrictions on the use of clocks and network. */
 class ArchitectureTest
 {
     private static final JavaClasses CLASSES = new ClassFileImporter()
             .withImportOption(new ImportOption.DoNotIncludeTests()).importPackages("org.gaugehollow");
 
     @Test
-    void lowerPackagesNeverUseHigherOnes()
+    void lowerLayersNeverAccessHigherLayers()
     {
         layeredArchitecture().consideringOnlyDependenciesInAnyPackage("org.gaugehollow..").layer("model")
                 .definedBy("..model..").layer("event").definedBy("..event..").layer("net")
@@ -46,16 +46,16 @@
                 .whereLayer("settings").mayOnlyBeAccessedByLayers("entry").check(CLASSES);
     }
 
-    /** A clock that stands still in a suspension must not decide over leases, rights or ages. */
+    /** Guards against leases measured with a clock that stops while the machine is suspended. */
     @Test
-    void onlyOneClassReadsTheRuntimesClock()
+    void onlySteadyClockReadsNanoTime()
     {
         ArchRuleDefinition.noClasses().that().doNotHaveSimpleName("SteadyClock").should()
                 .callMethod(System.class, "nanoTime").check(CLASSES);
     }
 
     @Test
-    void decisionsKnowNeitherNetworkNorClocks()
+    void placementDependsOnNeitherNetworkNorClocks()
     {
         ArchRuleDefinition.noClasses().that().resideInAPackage("..placement..").should().dependOnClassesThat()
                 .resideInAnyPackage("io.netty..", "java.net..").check(CLASSES);
--- a/gaugehollow/src/test/java/org/gaugehollow/CatalogueTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/CatalogueTest.java
@@ -16,13 +16,13 @@
 import org.gaugehollow.model.ResultCode;
 import org.junit.jupiter.api.Test;
 
-/** Holds the catalogues in the docs equal to the code. */
+/** Checks that the tables in the docs match the code. */
 class CatalogueTest
 {
     private static final Path DOCS = Path.of("..", "docs");
 
     @Test
-    void errorsPageIsTheCode() throws IOException
+    void errorsPageMatchesResultCodes() throws IOException
     {
         List<String> expected = Arrays.stream(ResultCode.values())
                 .map(c -> "| " + c.number() + " | " + c.name() + " | "
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void eventsPageIsTheCode() throws IOException
+    void eventsPageMatchesEventTypes() throws IOException
     {
         List<String> expected = Arrays.stream(EventType.values()).map(
                 e -> "| " + e.number() + " | " + e.name() + " | " + e.level() + " | " + e.meaning() + " |")
@@ -42,7 +42,7 @@
         assertThat(rows("EVENTS.md")).containsExactlyElementsIn(expected).inOrder();
     }
 
-    /** The rows of the page's catalogue: those that begin with a number of the first column. */
+    /** Returns the table rows that begin with a number. */
     private static List<String> rows(String page) throws IOException
     {
         return Files.readAllLines(DOCS.resolve(page)).stream()
--- a/gaugehollow/src/test/java/org/gaugehollow/config/ConfigCacheTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/config/ConfigCacheTest.java
@@ -20,7 +20,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** The configuration on a box only ever moves on, whichever way changes reach it. */
+/** Tests that the cached configuration never reverts and that lagging watchers are detected. */
 class ConfigCacheTest
 {
     private static ConfigEntry entry(String name, long revision, boolean deleted)
@@ -28,19 +28,19 @@
         return new ConfigEntry(name, revision, deleted ? new byte[0] : new byte[]{(byte) revision}, deleted);
     }
 
-    private static Map<String, Long> state(ConfigCache keeper)
+    private static Map<String, Long> state(ConfigCache cache)
     {
         Map<String, Long> state = new TreeMap<>();
-        keeper.list("").forEach(e -> state.put(e.name(), e.revision()));
+        cache.list("").forEach(e -> state.put(e.name(), e.revision()));
         return state;
     }
 
     /**
-     * Two boxes take the store's changes in pieces, from the store or from each other, in any order. No
-     * entry ever goes back, and in the end both have just what the store has.
+     * Guards against entries that revert, or boxes that diverge, when changes arrive in any order from
+     * the store and from peers.
      */
     @Property(tries = 300, seed = "31")
-    void nothingRevertsAndAllAgreeInTheEnd(
+    void entriesNeverRevertAndAllBoxesConverge(
             @ForAll @Size(min = 1, max = 60) List<@IntRange(max = 99) Integer> steps)
     {
         ConfigCache store = new ConfigCache();
@@ -60,10 +60,10 @@
             }
             else
             {
-                ConfigCache to = boxes[step % 2];
-                ConfigCache from = step < 80 ? store : boxes[(step + 1) % 2];
-                ConfigDelta delta = step % 5 == 0 ? from.since(0) : from.since(to.revision());
-                assertMonotone(to, () -> to.apply(delta));
+                ConfigCache target = boxes[step % 2];
+                ConfigCache source = step < 80 ? store : boxes[(step + 1) % 2];
+                ConfigDelta delta = step % 5 == 0 ? source.since(0) : source.since(target.revision());
+                assertMonotone(target, () -> target.apply(delta));
             }
         }
         for (ConfigCache box : boxes)
@@ -83,19 +83,19 @@
     }
 
     @Test
-    void aWatcherIsToldWhenChangesItHasNotSeenAreGone() throws InterruptedException
+    void watcherLearnsThatUnseenChangesWereEvicted() throws InterruptedException
     {
-        ConfigCache keeper = new ConfigCache();
-        keeper.apply(new ConfigDelta(1, true, List.of(entry("teams/a", 1, false))));
+        ConfigCache cache = new ConfigCache();
+        cache.apply(new ConfigDelta(1, true, List.of(entry("teams/a", 1, false))));
         long revision = 1;
         for (int i = 0; i < ConfigCache.HISTORY + 5; i++)
         {
             revision++;
-            keeper.apply(new ConfigDelta(revision, false, List.of(entry("teams/a", revision, false))));
+            cache.apply(new ConfigDelta(revision, false, List.of(entry("teams/a", revision, false))));
         }
-        assertThat(keeper.awaitAfter(3, 0)).isEmpty();
-        List<ConfigEntry> last = new ArrayList<>(keeper.awaitAfter(revision - 2, 0).orElseThrow());
-        assertThat(last).hasSize(2);
-        assertThat(keeper.since(3).full()).isTrue();
+        assertThat(cache.awaitAfter(3, 0)).isEmpty();
+        List<ConfigEntry> lastChanges = new ArrayList<>(cache.awaitAfter(revision - 2, 0).orElseThrow());
+        assertThat(lastChanges).hasSize(2);
+        assertThat(cache.since(3).full()).isTrue();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/config/ResourceStoreTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/config/ResourceStoreTest.java
@@ -24,7 +24,7 @@
 
 import com.fasterxml.jackson.databind.JsonNode;
 
-/** Writes of operators whose answers are lost, in every order with other writes. */
+/** Tests the reported outcome of writes whose answers are lost. */
 class ResourceStoreTest
 {
     private static final String NAME = "workloads/goal";
@@ -37,13 +37,13 @@
         return Json.mapper().createObjectNode().put("value", value);
     }
 
-    private ResultCode failure(Executable write)
+    private ResultCode codeOfFailure(Executable write)
     {
         return assertThrows(GaugehollowException.class, write).code();
     }
 
     @Test
-    void aLostAnswerToAWriteThatWasAppliedIsSettledAsSuccess() throws Exception
+    void appliedWriteWithLostAnswerSucceeds() throws Exception
     {
         store.loseAnswers(1);
         ConfigEntry created = resources.put(NAME, Optional.empty(), spec(1));
@@ -55,7 +55,7 @@
     }
 
     @Test
-    void aLostWriteThatWasNotAppliedIsMadeOnce() throws Exception
+    void lostWriteIsRetriedAndAppliedOnce() throws Exception
     {
         store.loseWrites(1);
         ConfigEntry created = resources.put(NAME, Optional.empty(), spec(1));
@@ -64,38 +64,38 @@
     }
 
     @Test
-    void anotherOperatorsChangeBetweenTheLostAnswerAndTheQuestionIsToldApart() throws Exception
+    void writeWithLostAnswerSucceedsAfterLaterChangeByAnotherOperator() throws Exception
     {
         ConfigEntry created = resources.put(NAME, Optional.empty(), spec(1));
         store.loseAnswers(1);
         store.afterNextCommit(() -> resources.put(NAME,
                 Optional.of(store.get(StoreKeys.CONFIG + NAME).orElseThrow().modRevision()), spec(3)));
-        ConfigEntry mine = resources.put(NAME, Optional.of(created.revision()), spec(2));
-        assertThat(new String(mine.envelope(), StandardCharsets.UTF_8)).contains("\"value\":3");
+        ConfigEntry settled = resources.put(NAME, Optional.of(created.revision()), spec(2));
+        assertThat(new String(settled.envelope(), StandardCharsets.UTF_8)).contains("\"value\":3");
     }
 
     @Test
-    void ofTwoDeletionsWithALostAnswerOnlyOneSucceeds() throws Exception
+    void secondDeletionAfterLostWriteIsRejected() throws Exception
     {
         ConfigEntry created = resources.put(NAME, Optional.empty(), spec(1));
         store.loseWrites(1);
         store.afterNextCommit(null);
         ConfigEntry removed = resources.delete(NAME, created.revision());
         assertThat(removed.deleted()).isTrue();
-        assertThat(failure(() -> resources.delete(NAME, created.revision())))
+        assertThat(codeOfFailure(() -> resources.delete(NAME, created.revision())))
                 .isEqualTo(ResultCode.RESOURCE_NOT_FOUND);
     }
 
     @Test
-    void aStoreThatNeverSaysLeavesTheOutcomeOpen()
+    void outcomeIsUnknownIfTheStoreNeverAnswers()
     {
         store.loseAnswers(100);
-        assertThat(failure(() -> resources.put(NAME, Optional.empty(), spec(1))))
+        assertThat(codeOfFailure(() -> resources.put(NAME, Optional.empty(), spec(1))))
                 .isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
     }
 
-    /** A store that goes down as soon as it has said that a condition does not hold. */
-    private static FakeStore goingDownAfterAConflict()
+    /** Creates a store that becomes unavailable after the first failed condition. */
+    private static FakeStore storeFailingAfterConflict()
     {
         return new FakeStore()
         {
@@ -111,62 +111,60 @@
     }
 
     /**
-     * The store applied a change and its answer was lost. The same write sent again met its own effect,
-     * and the read that was to settle it was turned away. The operator was told that nothing was
-     * changed, because the code of that read stood for the write.
+     * Guards against reporting an applied change as not made because the read that should determine its
+     * outcome failed.
      */
     @Test
-    void aChangeThatCannotBeSettledIsNotToldAsNotMade() throws Exception
+    void changeWhoseOutcomeCannotBeReadIsUnknown() throws Exception
     {
-        FakeStore failing = goingDownAfterAConflict();
-        ResourceStore writes = new ResourceStore(failing, events);
-        failing.loseAnswers(1);
-        assertThat(failure(() -> writes.put(NAME, Optional.empty(), spec(1))))
+        FakeStore failingStore = storeFailingAfterConflict();
+        ResourceStore failingResources = new ResourceStore(failingStore, events);
+        failingStore.loseAnswers(1);
+        assertThat(codeOfFailure(() -> failingResources.put(NAME, Optional.empty(), spec(1))))
                 .isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
-        failing.setDown(false);
-        assertThat(failing.get(StoreKeys.CONFIG + NAME)).isPresent();
+        failingStore.setDown(false);
+        assertThat(failingStore.get(StoreKeys.CONFIG + NAME)).isPresent();
     }
 
-    /** The same, for a removal. */
+    /** Guards against reporting an applied deletion as not made because the read afterwards failed. */
     @Test
-    void aRemovalThatCannotBeSettledIsNotToldAsNotMade() throws Exception
+    void deletionWhoseOutcomeCannotBeReadIsUnknown() throws Exception
     {
-        FakeStore failing = goingDownAfterAConflict();
-        ResourceStore writes = new ResourceStore(failing, events);
-        ConfigEntry created = writes.put(NAME, Optional.empty(), spec(1));
-        failing.loseAnswers(1);
-        assertThat(failure(() -> writes.delete(NAME, created.revision())))
+        FakeStore failingStore = storeFailingAfterConflict();
+        ResourceStore failingResources = new ResourceStore(failingStore, events);
+        ConfigEntry created = failingResources.put(NAME, Optional.empty(), spec(1));
+        failingStore.loseAnswers(1);
+        assertThat(codeOfFailure(() -> failingResources.delete(NAME, created.revision())))
                 .isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
-        failing.setDown(false);
-        assertThat(failing.get(StoreKeys.CONFIG + NAME)).isEmpty();
+        failingStore.setDown(false);
+        assertThat(failingStore.get(StoreKeys.CONFIG + NAME)).isEmpty();
     }
 
     /**
-     * A change was applied and its answer was lost; then another operator removed the resource. Nothing
-     * is left that holds the ids of its writes, and the first operator was told that the change was not
-     * made.
+     * Guards against reporting an applied change as not made because the resource, and the write ids in
+     * it, were deleted afterwards.
      */
     @Test
-    void aChangeOfAResourceThatIsGoneIsNotToldAsNotMade() throws Exception
+    void changeOfResourceThatWasDeletedSinceIsUnknown() throws Exception
     {
         ConfigEntry created = resources.put(NAME, Optional.empty(), spec(1));
         store.loseAnswers(1);
         store.afterNextCommit(
                 () -> resources.delete(NAME, store.get(StoreKeys.CONFIG + NAME).orElseThrow().modRevision()));
-        assertThat(failure(() -> resources.put(NAME, Optional.of(created.revision()), spec(2))))
+        assertThat(codeOfFailure(() -> resources.put(NAME, Optional.of(created.revision()), spec(2))))
                 .isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
     }
 
     @Test
-    void aStoreThatCannotBeReachedLeavesEverythingAsItWas()
+    void unreachableStoreFailsAsUnavailable()
     {
         store.setDown(true);
-        assertThat(failure(() -> resources.put(NAME, Optional.empty(), spec(1))))
+        assertThat(codeOfFailure(() -> resources.put(NAME, Optional.empty(), spec(1))))
                 .isEqualTo(ResultCode.STORE_UNAVAILABLE);
     }
 
     @Test
-    void anOldRevisionIsAConflictThatNamesTheNewOne() throws Exception
+    void outdatedRevisionIsAConflictThatNamesTheCurrentOne() throws Exception
     {
         ConfigEntry created = resources.put(NAME, Optional.empty(), spec(1));
         ConfigEntry changed = resources.put(NAME, Optional.of(created.revision()), spec(2));
--- a/gaugehollow/src/test/java/org/gaugehollow/event/BoundedPrintStreamTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/event/BoundedPrintStreamTest.java
@@ -18,15 +18,15 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.Timeout;
 
-/** The log's stream: order, time, and a reader that stops. */
+/** Tests line order, timestamps, flushing and a blocked reader. */
 class BoundedPrintStreamTest
 {
     private static final long TIME = 1_700_000_000_000L;
-    private static final int BEYOND = 10;
+    private static final int EXCESS_LINES = 10;
 
     @Test
     @Timeout(10)
-    void linesComeInOrderEachWithItsTime() throws IOException
+    void linesAreForwardedInOrderWithTimestamps() throws IOException
     {
         PipedOutputStream written = new PipedOutputStream();
         try (PipedInputStream read = new PipedInputStream(written))
@@ -41,10 +41,10 @@
         }
     }
 
-    /** So the last lines of a box that is stopped are not lost. */
+    /** Guards against the loss of the last lines when a process stops. */
     @Test
     @Timeout(10)
-    void aFlushWaitsForTheLinesThatWereTaken()
+    void flushWaitsForPendingLines()
     {
         ByteArrayOutputStream written = new ByteArrayOutputStream();
         BoundedPrintStream stream = BoundedPrintStream.start(new PrintStream(written, true), () -> TIME);
@@ -57,31 +57,31 @@
                 .isEqualTo(BoundedPrintStream.CAPACITY / 2);
     }
 
-    /** A writer is never held up; what the buffer does not hold is counted as dropped. */
+    /** Guards against writers blocked by a stalled reader. */
     @Test
     @Timeout(10)
-    void aReaderThatStopsDropsLinesAndHoldsNobodyUp() throws InterruptedException
+    void blockedReaderDropsLinesWithoutBlockingWriters() throws InterruptedException
     {
-        CountDownLatch reading = new CountDownLatch(1);
-        CountDownLatch goOn = new CountDownLatch(1);
-        OutputStream stopped = new ByteArrayOutputStream()
+        CountDownLatch readerBlocked = new CountDownLatch(1);
+        CountDownLatch releaseReader = new CountDownLatch(1);
+        OutputStream blocked = new ByteArrayOutputStream()
         {
             @Override
             public synchronized void write(byte[] bytes, int from, int length)
             {
-                reading.countDown();
-                awaitQuietly(goOn);
+                readerBlocked.countDown();
+                awaitQuietly(releaseReader);
             }
         };
-        BoundedPrintStream stream = BoundedPrintStream.start(new PrintStream(stopped, true), () -> TIME);
-        stream.println("the line that the reader stops at");
-        reading.await();
-        for (int i = 0; i < BoundedPrintStream.CAPACITY + BEYOND; i++)
+        BoundedPrintStream stream = BoundedPrintStream.start(new PrintStream(blocked, true), () -> TIME);
+        stream.println("line at which the reader blocks");
+        readerBlocked.await();
+        for (int i = 0; i < BoundedPrintStream.CAPACITY + EXCESS_LINES; i++)
         {
             stream.println("line " + i);
         }
-        assertThat(stream.dropped()).isEqualTo(BEYOND);
-        goOn.countDown();
+        assertThat(stream.dropped()).isEqualTo(EXCESS_LINES);
+        releaseReader.countDown();
     }
 
     private static void awaitQuietly(CountDownLatch latch)
--- a/gaugehollow/src/test/java/org/gaugehollow/event/EventLogTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/event/EventLogTest.java
@@ -11,14 +11,14 @@
 
 import org.junit.jupiter.api.Test;
 
-/** Events are kept for the time line and counted for the metrics. */
+/** Tests that events are kept up to the capacity and counted. */
 class EventLogTest
 {
     private final Metrics metrics = new Metrics();
     private final EventLog events = new EventLog("box", new HybridClock(() -> 1L), Optional.of(metrics));
 
     @Test
-    void eachEventIsCountedByItsName()
+    void eventsAreCountedByName()
     {
         events.record(EventType.TASK_GIVEN_UP, "task", "");
         events.record(EventType.TASK_GIVEN_UP, "another", "");
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void onlyTheNewestEventsAreKept()
+    void onlyNewestEventsAreKept()
     {
         for (int i = 0; i <= EventLog.CAPACITY; i++)
         {
--- a/gaugehollow/src/test/java/org/gaugehollow/model/TryOutcomesTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/model/TryOutcomesTest.java
@@ -15,7 +15,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.Size;
 
-/** Refusals of several tries, folded into what is told of the request. */
+/** Tests how failures of several attempts determine the outcome of the request. */
 class TryOutcomesTest
 {
     private static GaugehollowException failure(ResultCode code)
@@ -24,54 +24,56 @@
     }
 
     @Test
-    void aTryThatIsUnderWayKeepsTheRequestFromBeingToldAsNotRun()
+    void outcomeIsUnknownWhileAnAttemptIsInProgress()
     {
-        TryOutcomes tries = new TryOutcomes();
-        tries.begin();
-        tries.begin();
-        assertThat(tries.end(failure(ResultCode.STORE_UNAVAILABLE))).isEmpty();
-        assertThat(tries.failure().code()).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
-        assertThat(tries.end(failure(ResultCode.STORE_UNAVAILABLE)).orElseThrow().code())
+        TryOutcomes attempts = new TryOutcomes();
+        attempts.begin();
+        attempts.begin();
+        assertThat(attempts.end(failure(ResultCode.STORE_UNAVAILABLE))).isEmpty();
+        assertThat(attempts.failure().code()).isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
+        assertThat(attempts.end(failure(ResultCode.STORE_UNAVAILABLE)).orElseThrow().code())
                 .isEqualTo(ResultCode.STORE_UNAVAILABLE);
     }
 
     @Test
-    void aTryWithoutAClearEndDecidesWhileOthersAreUnderWay()
+    void unknownOutcomeDecidesWhileOtherAttemptsAreInProgress()
     {
-        TryOutcomes tries = new TryOutcomes();
-        tries.begin();
-        tries.begin();
-        assertThat(tries.end(failure(ResultCode.PEER_LOST)).orElseThrow().code())
+        TryOutcomes attempts = new TryOutcomes();
+        attempts.begin();
+        attempts.begin();
+        assertThat(attempts.end(failure(ResultCode.PEER_LOST)).orElseThrow().code())
                 .isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
-        assertThat(tries.mayRun()).isTrue();
+        assertThat(attempts.mayRun()).isTrue();
     }
 
     @Test
-    void noTryBeginsAfterAnotherHasFailed()
+    void noAttemptBeginsAfterAnotherHasFailed()
     {
-        TryOutcomes tries = new TryOutcomes();
-        assertThat(tries.begin()).isTrue();
-        assertThat(tries.begin()).isTrue();
-        assertThat(tries.end(failure(ResultCode.STORE_UNAVAILABLE))).isEmpty();
-        assertThat(tries.begin()).isFalse();
+        TryOutcomes attempts = new TryOutcomes();
+        assertThat(attempts.begin()).isTrue();
+        assertThat(attempts.begin()).isTrue();
+        assertThat(attempts.end(failure(ResultCode.STORE_UNAVAILABLE))).isEmpty();
+        assertThat(attempts.begin()).isFalse();
     }
 
     @Test
-    void nothingIsToldBeforeATryIsOver()
+    void failureIsIllegalBeforeAnAttemptEnds()
     {
-        TryOutcomes tries = new TryOutcomes();
-        tries.begin();
-        assertThrows(IllegalStateException.class, tries::failure);
+        TryOutcomes attempts = new TryOutcomes();
+        attempts.begin();
+        assertThrows(IllegalStateException.class, attempts::failure);
     }
 
-    /** Whatever the order of the tries, "not run" is told only if each of them says so. */
+    /**
+     * Guards against reporting "not run" although an attempt may have run, in any order of failures.
+     */
     @Property
-    void notRunIsToldOnlyIfEveryTrySaysSo(@ForAll @Size(min = 1, max = 6) List<ResultCode> codes)
+    void requestIsNotRunOnlyIfNoAttemptMayHaveRun(@ForAll @Size(min = 1, max = 6) List<ResultCode> codes)
     {
-        TryOutcomes tries = new TryOutcomes();
-        codes.forEach(code -> tries.add(failure(code)));
-        boolean unclear = codes.stream().anyMatch(code -> code.outcome() == Outcome.UNKNOWN);
-        assertThat(tries.mayRun()).isEqualTo(unclear);
-        assertThat(tries.failure().code().outcome() == Outcome.UNKNOWN).isEqualTo(unclear);
+        TryOutcomes attempts = new TryOutcomes();
+        codes.forEach(code -> attempts.add(failure(code)));
+        boolean anyUnknown = codes.stream().anyMatch(code -> code.outcome() == Outcome.UNKNOWN);
+        assertThat(attempts.mayRun()).isEqualTo(anyUnknown);
+        assertThat(attempts.failure().code().outcome() == Outcome.UNKNOWN).isEqualTo(anyUnknown);
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/settings/SettingsReaderTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/settings/SettingsReaderTest.java
@@ -20,10 +20,10 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 
-/** Wrong settings are refused in one line that names the key. */
+/** Tests that invalid settings are rejected with one line that names the key. */
 class SettingsReaderTest
 {
-    private static final String GOOD = "{\"box\":\"bole-1\",\"hall\":\"bole\",\"callerAddress\":\"127.0.0.1:1\","
+    private static final String VALID_SETTINGS = "{\"box\":\"bole-1\",\"hall\":\"bole\",\"callerAddress\":\"127.0.0.1:1\","
             + "\"operatorAddress\":\"127.0.0.1:2\",\"peerAddress\":\"127.0.0.1:3\",\"platform\":"
             + "{\"storeAddress\":\"127.0.0.1:4\",\"rosterAddress\":\"127.0.0.1:4\"}}";
 
@@ -33,9 +33,9 @@
     }
 
     @Test
-    void goodSettingsAreFilledInWithDefaults()
+    void validSettingsAreCompletedWithDefaults()
     {
-        EntrySettings settings = parse(GOOD);
+        EntrySettings settings = parse(VALID_SETTINGS);
         assertThat(settings.timing().leaseSeconds()).isEqualTo(5);
         assertThat(settings.reachablePeerAddress()).isEqualTo("127.0.0.1:3");
     }
@@ -52,9 +52,9 @@
             "\"hall\":;\"timing\":{\"pingMillis\":900,\"witnessMillis\":1000},\"hall\":;SETTINGS_RANGE;timing.witnessMillis",
             "\"hall\":;\"limits\":{\"retryPercent\":-1},\"hall\":;SETTINGS_RANGE;limits.retryPercent",
             "}};};SETTINGS_UNREADABLE;''"})
-    void eachFaultNamesItsKey(String from, String to, String code, String named)
+    void errorNamesInvalidKey(String target, String replacement, String code, String expectedKey)
     {
-        String json = GOOD.replace(from, to == null ? "" : to);
+        String json = VALID_SETTINGS.replace(target, replacement == null ? "" : replacement);
         if ("OK".equals(code))
         {
             assertThat(parse(json).box()).isEqualTo("bole-1");
@@ -62,12 +62,12 @@
         }
         GaugehollowException e = assertThrows(GaugehollowException.class, () -> parse(json));
         assertThat(e.code()).isEqualTo(ResultCode.valueOf(code));
-        assertThat(e.getMessage()).contains(named == null ? "" : named);
+        assertThat(e.getMessage()).contains(expectedKey == null ? "" : expectedKey);
         assertThat(e.getMessage().lines().count()).isEqualTo(1);
     }
 
     @Property(tries = 500, seed = "5")
-    void anyTextIsReadOrRefusedWithACode(@ForAll String text)
+    void anyTextIsParsedOrRejectedWithSettingsCode(@ForAll String text)
     {
         try
         {
--- a/gaugehollow/src/test/java/org/gaugehollow/supervise/SupervisorTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/supervise/SupervisorTest.java
@@ -17,13 +17,13 @@
 import org.gaugehollow.event.HybridClock;
 import org.junit.jupiter.api.Test;
 
-/** Failed tasks are started again; all stop in the reverse order of their start. */
+/** Tests restarts of failed tasks and the stop order. */
 class SupervisorTest
 {
     private final EventLog events = new EventLog("test", new HybridClock(System::currentTimeMillis));
 
     @Test
-    void aFailedTaskIsStartedAgainAndTheFailureIsRecorded() throws Exception
+    void failedTaskIsRestartedAndFailuresAreRecorded() throws Exception
     {
         AtomicInteger runs = new AtomicInteger();
         CountDownLatch third = new CountDownLatch(1);
@@ -33,7 +33,7 @@
             {
                 if (runs.incrementAndGet() < 3)
                 {
-                    throw new IllegalStateException("again");
+                    throw new IllegalStateException("test failure");
                 }
                 third.countDown();
                 Thread.sleep(60_000);
@@ -45,20 +45,20 @@
     }
 
     @Test
-    void stopsInReverseOrderChildrenIncluded() throws InterruptedException
+    void tasksAndChildrenStopInReverseStartOrder() throws InterruptedException
     {
         List<String> stopped = new CopyOnWriteArrayList<>();
         CountDownLatch started = new CountDownLatch(3);
         Supervisor root = new Supervisor("root", events);
-        root.start("first", () -> untilStopped("first", started, stopped));
-        root.child("branch").start("second", () -> untilStopped("second", started, stopped));
-        root.start("third", () -> untilStopped("third", started, stopped));
+        root.start("first", () -> runUntilStopped("first", started, stopped));
+        root.child("branch").start("second", () -> runUntilStopped("second", started, stopped));
+        root.start("third", () -> runUntilStopped("third", started, stopped));
         assertThat(started.await(30, TimeUnit.SECONDS)).isTrue();
         root.close();
         assertThat(stopped).containsExactly("third", "second", "first").inOrder();
     }
 
-    private static void untilStopped(String name, CountDownLatch started, List<String> stopped)
+    private static void runUntilStopped(String name, CountDownLatch started, List<String> stopped)
             throws InterruptedException
     {
         try
