--- a/gaugehollow-bench/src/main/java/org/gaugehollow/bench/EngineBenchmark.java
+++ b/gaugehollow-bench/src/main/java/org/gaugehollow/bench/EngineBenchmark.java
@@ -67,10 +67,10 @@
     @Setup(Level.Trial)
     public void fill()
     {
-        PolicyAssignments.Named named = new PolicyAssignments.Named(policy,
+        PolicyAssignments.NamedPolicy namedPolicy = new PolicyAssignments.NamedPolicy(policy,
                 new PolicyRegistry().create(new PolicySpec(policy, null, null)));
         engine = new PlacementEngine(EngineLimits.defaults(),
-                new PolicyAssignments(Map.of(), Map.of(), named), System::nanoTime);
+                new PolicyAssignments(Map.of(), Map.of(), namedPolicy), System::nanoTime);
         for (int i = 0; i < workers; i++)
         {
             engine.putWorker("worker-" + i, 1, i % 2 == 0 ? PLAIN : ACCELERATED, ComputeResources.NONE, true);
--- a/gaugehollow/src/main/java/org/gaugehollow/box/CallerRelay.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/CallerRelay.java
@@ -14,10 +14,10 @@
 
 import org.gaugehollow.event.EventLog;
 import org.gaugehollow.event.EventType;
+import org.gaugehollow.model.AttemptOutcomes;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.Outcome;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.model.TryOutcomes;
 import org.gaugehollow.net.HttpExchange;
 import org.gaugehollow.net.HttpHandler;
 import org.gaugehollow.net.HttpReply;
@@ -126,8 +126,8 @@
     private HttpReply relayToPeers(HttpRequest request, GaugehollowException localFailure)
             throws InterruptedException
     {
-        TryOutcomes attempts = new TryOutcomes();
-        attempts.add(localFailure);
+        AttemptOutcomes attempts = new AttemptOutcomes();
+        attempts.addFailure(localFailure);
         for (Map.Entry<String, Peer> peer : selectPeers(request))
         {
             try
@@ -139,7 +139,7 @@
             catch (GaugehollowException e)
             {
                 recordRelay(request, peer.getKey(), e.code() + ": " + e.getMessage());
-                attempts.add(asStoreFailure(e));
+                attempts.addFailure(asStoreFailure(e));
                 if (!canPeerHelp(e.code()))
                 {
                     break;
--- a/gaugehollow/src/main/java/org/gaugehollow/box/JobIntake.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/box/JobIntake.java
@@ -19,10 +19,10 @@
 import org.gaugehollow.job.JobSpec;
 import org.gaugehollow.job.JobState;
 import org.gaugehollow.job.QueueSpec;
+import org.gaugehollow.model.AttemptOutcomes;
 import org.gaugehollow.model.GaugehollowException;
 import org.gaugehollow.model.Json;
 import org.gaugehollow.model.ResultCode;
-import org.gaugehollow.model.TryOutcomes;
 import org.gaugehollow.platform.HedgedCall;
 import org.gaugehollow.platform.MonitoredStore;
 import org.gaugehollow.platform.StoreListing;
@@ -87,7 +87,7 @@
         }
         finally
         {
-            metrics.jobCall(name, code.name(), SteadyClock.nanos() - startNanos);
+            metrics.recordJobCall(name, code.name(), SteadyClock.nanos() - startNanos);
         }
     }
 
@@ -180,7 +180,7 @@
 
     private void writeUntilSettled(Write write, String id, long deadlineNanos) throws InterruptedException
     {
-        TryOutcomes attempts = new TryOutcomes();
+        AttemptOutcomes attempts = new AttemptOutcomes();
         while (true)
         {
             try
@@ -190,9 +190,9 @@
             }
             catch (GaugehollowException e)
             {
-                attempts.add(e);
+                attempts.addFailure(e);
                 boolean deadlineNear = deadlineNanos - SteadyClock.nanos() < ANSWER_MARGIN_NANOS;
-                if (!attempts.mayRun() || deadlineNear || store.isUnresponsive())
+                if (!attempts.mayHaveRun() || deadlineNear || store.isUnresponsive())
                 {
                     GaugehollowException failure = attempts.failure();
                     events.record(EventType.JOB_REFUSED, id, failure.code() + ": " + failure.getMessage());
--- a/gaugehollow/src/main/java/org/gaugehollow/config/ActiveConfig.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/config/ActiveConfig.java
@@ -51,8 +51,8 @@
     {
         List<ConfigEntry> byRevision = entries.stream()
                 .sorted(Comparator.comparingLong(ConfigEntry::revision)).toList();
-        Map<String, PolicyAssignments.Named> policiesByName = new HashMap<>();
-        Map<TaskClass, PolicyAssignments.Named> policiesByClass = new EnumMap<>(TaskClass.class);
+        Map<String, PolicyAssignments.NamedPolicy> policiesByName = new HashMap<>();
+        Map<TaskClass, PolicyAssignments.NamedPolicy> policiesByClass = new EnumMap<>(TaskClass.class);
         Map<TaskClass, PolicyAssignments.Split> splitsByClass = new EnumMap<>(TaskClass.class);
         for (ConfigEntry entry : byRevision)
         {
@@ -66,7 +66,7 @@
         PlacementPolicy defaultPolicy = registry
                 .create(new PolicySpec(PolicyRegistry.WAITING_FIRST, null, null));
         policies = new PolicyAssignments(policiesByClass, splitsByClass,
-                new PolicyAssignments.Named(DEFAULT_POLICY, defaultPolicy));
+                new PolicyAssignments.NamedPolicy(DEFAULT_POLICY, defaultPolicy));
     }
 
     /**
@@ -120,8 +120,8 @@
     }
 
     private void readSpec(ConfigEntry entry, PolicyRegistry registry,
-            Map<String, PolicyAssignments.Named> policiesByName,
-            Map<TaskClass, PolicyAssignments.Named> policiesByClass)
+            Map<String, PolicyAssignments.NamedPolicy> policiesByName,
+            Map<TaskClass, PolicyAssignments.NamedPolicy> policiesByClass)
     {
         String name = resourceNameOf(entry);
         switch (parseEntry(entry))
@@ -129,7 +129,7 @@
             case WorkloadSpec workload -> workloads.put(name, workload);
             case TeamSpec team -> teams.put(name, team);
             case PolicySpec policy -> {
-                PolicyAssignments.Named namedPolicy = new PolicyAssignments.Named(name,
+                PolicyAssignments.NamedPolicy namedPolicy = new PolicyAssignments.NamedPolicy(name,
                         registry.create(policy));
                 policiesByName.put(name, namedPolicy);
                 policy.classes().forEach(taskClass -> policiesByClass.put(taskClass, namedPolicy));
@@ -140,15 +140,16 @@
         }
     }
 
-    private static void readComparison(ConfigEntry entry, Map<String, PolicyAssignments.Named> policiesByName,
+    private static void readComparison(ConfigEntry entry,
+            Map<String, PolicyAssignments.NamedPolicy> policiesByName,
             Map<TaskClass, PolicyAssignments.Split> splitsByClass)
     {
         if (!(parseEntry(entry) instanceof ComparisonSpec comparison))
         {
             return;
         }
-        PolicyAssignments.Named first = policiesByName.get(comparison.first());
-        PolicyAssignments.Named second = policiesByName.get(comparison.second());
+        PolicyAssignments.NamedPolicy first = policiesByName.get(comparison.first());
+        PolicyAssignments.NamedPolicy second = policiesByName.get(comparison.second());
         if (first == null || second == null)
         {
             throw new GaugehollowException(ResultCode.RESOURCE_INVALID,
--- a/gaugehollow/src/main/java/org/gaugehollow/config/ConfigCache.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/config/ConfigCache.java
@@ -28,7 +28,7 @@
 public final class ConfigCache
 {
     /** Maximum number of changes kept for watchers and peers that lag behind. */
-    public static final int HISTORY = 4096;
+    public static final int MAX_HISTORY_SIZE = 4096;
 
     private final ReentrantLock lock = new ReentrantLock();
     private final Condition changed = lock.newCondition();
@@ -89,7 +89,7 @@
      *
      * @param entry the change
      */
-    public void applyOwn(ConfigEntry entry)
+    public void applyLocal(ConfigEntry entry)
     {
         lock.lock();
         try
@@ -109,7 +109,7 @@
      * @param from revision of another box
      * @return delta that leads to this box's revision; full if the changes are no longer kept
      */
-    public ConfigDelta since(long from)
+    public ConfigDelta deltaSince(long from)
     {
         lock.lock();
         try
@@ -136,7 +136,8 @@
      *         kept
      * @throws InterruptedException if the thread is interrupted
      */
-    public Optional<List<ConfigEntry>> awaitAfter(long from, long timeoutNanos) throws InterruptedException
+    public Optional<List<ConfigEntry>> awaitChangesAfter(long from, long timeoutNanos)
+            throws InterruptedException
     {
         lock.lock();
         try
@@ -204,7 +205,7 @@
                 applied.add(entry);
             }
         }
-        while (history.size() > HISTORY)
+        while (history.size() > MAX_HISTORY_SIZE)
         {
             oldestKnownRevision = history.removeFirst().revision();
         }
--- a/gaugehollow/src/main/java/org/gaugehollow/config/ResourceStore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/config/ResourceStore.java
@@ -63,8 +63,9 @@
         Envelope envelope = current.map(stored -> envelopeOf(stored.value()).next(writeId, spec))
                 .orElseGet(() -> new Envelope(writeId, List.of(), spec));
         byte[] bytes = Json.write(envelope);
-        StoreTransaction write = new StoreTransaction().require(StoreKeys.CONFIG + name, expected.orElse(0L))
-                .put(StoreKeys.CONFIG + name, bytes);
+        StoreTransaction write = new StoreTransaction()
+                .require(StoreKeys.CONFIG_PREFIX + name, expected.orElse(0L))
+                .put(StoreKeys.CONFIG_PREFIX + name, bytes);
         Optional<Long> revision = commitUntilAnswered(name, write, writeId);
         return revision.isPresent()
                 ? new ConfigEntry(name, revision.get(), bytes, false)
@@ -85,8 +86,8 @@
     {
         readExpected(name, Optional.of(expected));
         String writeId = UUID.randomUUID().toString();
-        StoreTransaction write = new StoreTransaction().require(StoreKeys.CONFIG + name, expected)
-                .delete(StoreKeys.CONFIG + name)
+        StoreTransaction write = new StoreTransaction().require(StoreKeys.CONFIG_PREFIX + name, expected)
+                .delete(StoreKeys.CONFIG_PREFIX + name)
                 .put(StoreKeys.removal(name), writeId.getBytes(StandardCharsets.UTF_8));
         Optional<Long> revision = commitUntilAnswered(name, write, writeId);
         long removedAt = revision.isPresent() ? revision.get() : resolveDeleteOutcome(name, writeId);
@@ -96,7 +97,7 @@
     private Optional<StoredValue> readExpected(String name, Optional<Long> expected)
             throws InterruptedException
     {
-        Optional<StoredValue> current = store.get(StoreKeys.CONFIG + name);
+        Optional<StoredValue> current = store.get(StoreKeys.CONFIG_PREFIX + name);
         if (expected.isPresent() && current.isEmpty())
         {
             throw new GaugehollowException(ResultCode.RESOURCE_NOT_FOUND, name + " does not exist");
@@ -173,7 +174,7 @@
      */
     private ConfigEntry resolvePutOutcome(String name, String writeId) throws InterruptedException
     {
-        Optional<StoredValue> current = readForOutcome(StoreKeys.CONFIG + name, name, writeId);
+        Optional<StoredValue> current = readForOutcome(StoreKeys.CONFIG_PREFIX + name, name, writeId);
         if (current.isEmpty())
         {
             throw outcomeUnknown(name, writeId);
@@ -208,7 +209,7 @@
 
     private long currentRevision(String name) throws InterruptedException
     {
-        return store.get(StoreKeys.CONFIG + name).map(StoredValue::modRevision).orElse(0L);
+        return store.get(StoreKeys.CONFIG_PREFIX + name).map(StoredValue::modRevision).orElse(0L);
     }
 
     private static Envelope envelopeOf(byte[] bytes)
--- a/gaugehollow/src/main/java/org/gaugehollow/config/StoreFollower.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/config/StoreFollower.java
@@ -74,7 +74,7 @@
         {
             if (!alreadyLost)
             {
-                events.record(EventType.STORE_WATCH_LOST, StoreKeys.CONFIG, e.getMessage());
+                events.record(EventType.STORE_WATCH_LOST, StoreKeys.CONFIG_PREFIX, e.getMessage());
             }
             if (e.code() == ResultCode.WATCH_TOO_OLD)
             {
@@ -90,7 +90,7 @@
         {
             readAll();
         }
-        try (StoreWatch watch = store.watch(StoreKeys.CONFIG, cache.revision() + 1))
+        try (StoreWatch watch = store.watch(StoreKeys.CONFIG_PREFIX, cache.revision() + 1))
         {
             long lastChangeAt = SteadyClock.nanos();
             while (isRelay.getAsBoolean() && SteadyClock.nanos() - lastChangeAt < IDLE_TIMEOUT_NANOS)
@@ -109,12 +109,12 @@
 
     private void readAll() throws InterruptedException
     {
-        StoreListing listing = store.list(StoreKeys.CONFIG);
+        StoreListing listing = store.list(StoreKeys.CONFIG_PREFIX);
         List<ConfigEntry> entries = listing.values().stream().map(
                 stored -> new ConfigEntry(nameOf(stored.key()), stored.modRevision(), stored.value(), false))
                 .toList();
         cache.apply(new ConfigDelta(listing.revision(), true, entries));
-        events.record(EventType.CONFIG_RESYNCED, StoreKeys.CONFIG, "revision " + listing.revision());
+        events.record(EventType.CONFIG_RESYNCED, StoreKeys.CONFIG_PREFIX, "revision " + listing.revision());
     }
 
     private static ConfigEntry toEntry(StoreChange change)
@@ -124,6 +124,6 @@
 
     private static String nameOf(String key)
     {
-        return key.substring(StoreKeys.CONFIG.length());
+        return key.substring(StoreKeys.CONFIG_PREFIX.length());
     }
 }
--- a/gaugehollow/src/main/java/org/gaugehollow/config/StoreKeys.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/config/StoreKeys.java
@@ -10,7 +10,7 @@
 public final class StoreKeys
 {
     /** Prefix of all configuration keys. */
-    public static final String CONFIG = "/gaugehollow/config/";
+    public static final String CONFIG_PREFIX = "/gaugehollow/config/";
     private static final String HALLS_PREFIX = "halls/";
     private static final String REMOVALS_PREFIX = "/gaugehollow/removals/";
     private static final String MEMBERS_PREFIX = "/gaugehollow/members/";
@@ -22,7 +22,7 @@
     /**
      * @param kind resource kind
      * @param name resource name
-     * @return key of the resource, relative to {@link #CONFIG}
+     * @return key of the resource, relative to {@link #CONFIG_PREFIX}
      */
     public static String resource(ResourceKind kind, String name)
     {
@@ -31,15 +31,15 @@
 
     /**
      * @param hall data hall
-     * @return key of the data hall's assignment map, relative to {@link #CONFIG}
+     * @return key of the data hall's assignment map, relative to {@link #CONFIG_PREFIX}
      */
-    public static String hallMap(String hall)
+    public static String assignmentMap(String hall)
     {
         return HALLS_PREFIX + hall;
     }
 
     /**
-     * @param name key relative to {@link #CONFIG}
+     * @param name key relative to {@link #CONFIG_PREFIX}
      * @return whether it is the key of an assignment map
      */
     public static boolean isAssignmentMap(String name)
@@ -67,7 +67,7 @@
     }
 
     /**
-     * @param name key relative to {@link #CONFIG}
+     * @param name key relative to {@link #CONFIG_PREFIX}
      * @return key that stores the id of the write that last deleted the given key
      */
     public static String removal(String name)
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/EntryBox.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/EntryBox.java
@@ -212,7 +212,7 @@
     {
         PolicySpec waitingFirst = new PolicySpec(PolicyRegistry.WAITING_FIRST, null, null);
         return new PolicyAssignments(Map.of(), Map.of(),
-                new PolicyAssignments.Named("default", policyRegistry.create(waitingFirst)));
+                new PolicyAssignments.NamedPolicy("default", policyRegistry.create(waitingFirst)));
     }
 
     private RequestRouter createRouter(RequestSupport support, KeyReplicator replicator,
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/PeerCallHandler.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/PeerCallHandler.java
@@ -102,7 +102,7 @@
 
     private Frame.Builder state(StateCall call)
     {
-        ConfigDelta delta = config.since(call.getConfigRevision());
+        ConfigDelta delta = config.deltaSince(call.getConfigRevision());
         StateReply.Builder reply = StateMessages.replyOf(delta);
         if (roster.version() > call.getRosterVersion())
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/entry/ResourceApi.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/entry/ResourceApi.java
@@ -82,7 +82,7 @@
             case "DELETE" -> {
                 ConfigEntry removed = store.delete(StoreKeys.resource(kind, requireUnused(kind, name)),
                         requiredRevision(request));
-                config.applyOwn(removed);
+                config.applyLocal(removed);
                 exchange.respond(HttpReply.json(OK, Map.of("kind", kind.plural(), "name", name,
                         "deletedAtRevision", removed.revision())));
             }
@@ -103,7 +103,7 @@
         }
         JsonNode content = Json.read(request.body(), JsonNode.class, ResultCode.RESOURCE_INVALID);
         ConfigEntry written = store.put(key, expected, content);
-        config.applyOwn(written);
+        config.applyLocal(written);
         return replyWithETag(expected.isPresent() ? OK : CREATED, written);
     }
 
@@ -167,7 +167,8 @@
         exchange.startLines();
         while (exchange.isOpen())
         {
-            Optional<List<ConfigEntry>> changes = config.awaitAfter(lastRevision, HEARTBEAT_INTERVAL_NANOS);
+            Optional<List<ConfigEntry>> changes = config.awaitChangesAfter(lastRevision,
+                    HEARTBEAT_INTERVAL_NANOS);
             if (changes.isEmpty())
             {
                 String message = "revision " + lastRevision
--- a/gaugehollow/src/main/java/org/gaugehollow/event/Metrics.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/event/Metrics.java
@@ -59,7 +59,7 @@
      * @param code name of the result code
      * @param nanos duration in nanoseconds
      */
-    public void jobCall(String call, String code, long nanos)
+    public void recordJobCall(String call, String code, long nanos)
     {
         jobCalls.labelValues(call, code).inc();
         jobSeconds.labelValues(call).observe(nanos / NANOS_PER_SECOND);
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/AssignmentMaps.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/AssignmentMaps.java
@@ -104,7 +104,7 @@
 
     private void applyEntry(ConfigEntry entry)
     {
-        String hallName = entry.name().substring(StoreKeys.hallMap("").length());
+        String hallName = entry.name().substring(StoreKeys.assignmentMap("").length());
         if (entry.deleted())
         {
             mapsByHall.remove(hallName);
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/MapStore.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/MapStore.java
@@ -57,7 +57,7 @@
     public boolean change(long expectedRevision, AssignmentMap next, Collection<String> absentBoxes)
             throws InterruptedException
     {
-        String key = StoreKeys.CONFIG + StoreKeys.hallMap(hall);
+        String key = StoreKeys.CONFIG_PREFIX + StoreKeys.assignmentMap(hall);
         byte[] bytes = Json.write(next);
         StoreTransaction transaction = new StoreTransaction().require(key, expectedRevision).put(key, bytes);
         absentBoxes.forEach(box -> transaction.require(StoreKeys.member(hall, box), 0));
@@ -69,7 +69,7 @@
         }
         events.record(EventType.MAP_CHANGED, hall,
                 "epoch " + next.epoch() + ", boxes " + next.boxes().keySet());
-        config.applyOwn(new ConfigEntry(StoreKeys.hallMap(hall), revision.get(), bytes, false));
+        config.applyLocal(new ConfigEntry(StoreKeys.assignmentMap(hall), revision.get(), bytes, false));
         return true;
     }
 
@@ -81,9 +81,9 @@
      */
     public Optional<AssignmentMap> refresh() throws InterruptedException
     {
-        String name = StoreKeys.hallMap(hall);
-        Optional<StoredValue> stored = store.get(StoreKeys.CONFIG + name);
-        stored.ifPresent(v -> config.applyOwn(new ConfigEntry(name, v.modRevision(), v.value(), false)));
+        String name = StoreKeys.assignmentMap(hall);
+        Optional<StoredValue> stored = store.get(StoreKeys.CONFIG_PREFIX + name);
+        stored.ifPresent(v -> config.applyLocal(new ConfigEntry(name, v.modRevision(), v.value(), false)));
         return stored.map(v -> Json.read(v.value(), AssignmentMap.class, ResultCode.STORE_BAD_ANSWER));
     }
 
--- a/gaugehollow/src/main/java/org/gaugehollow/membership/StoreSession.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/membership/StoreSession.java
@@ -202,9 +202,9 @@
      */
     private void readMap() throws InterruptedException
     {
-        String name = StoreKeys.hallMap(self.hall());
-        Optional<StoredValue> map = store.get(StoreKeys.CONFIG + name);
-        map.ifPresent(v -> config.applyOwn(new ConfigEntry(name, v.modRevision(), v.value(), false)));
+        String name = StoreKeys.assignmentMap(self.hall());
+        Optional<StoredValue> map = store.get(StoreKeys.CONFIG_PREFIX + name);
+        map.ifPresent(v -> config.applyLocal(new ConfigEntry(name, v.modRevision(), v.value(), false)));
     }
 
     private void setStoreAvailable(boolean available, String reason)
--- a/gaugehollow/src/main/java/org/gaugehollow/model/TryOutcomes.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/model/AttemptOutcomes.java
@@ -11,7 +11,7 @@
  * attempt certainly changed nothing; an attempt that is in progress, or that ended with an unknown
  * outcome, may still take effect. Thread-safe.
  */
-public final class TryOutcomes
+public final class AttemptOutcomes
 {
     private int attemptsInProgress;
     private GaugehollowException firstUnknown;
@@ -43,7 +43,7 @@
     public synchronized Optional<GaugehollowException> end(GaugehollowException failure)
     {
         attemptsInProgress--;
-        add(failure);
+        addFailure(failure);
         return attemptsInProgress == 0 || firstUnknown != null ? Optional.of(failure()) : Optional.empty();
     }
 
@@ -52,7 +52,7 @@
      *
      * @param failure how the attempt failed
      */
-    public synchronized void add(GaugehollowException failure)
+    public synchronized void addFailure(GaugehollowException failure)
     {
         lastFailure = failure;
         if (firstUnknown == null && failure.code().outcome() == Outcome.UNKNOWN)
@@ -62,7 +62,7 @@
     }
 
     /** @return whether the request may have run or may still run */
-    public synchronized boolean mayRun()
+    public synchronized boolean mayHaveRun()
     {
         return attemptsInProgress > 0 || firstUnknown != null;
     }
@@ -78,7 +78,7 @@
         {
             throw new IllegalStateException("no attempt has failed");
         }
-        if (!mayRun())
+        if (!mayHaveRun())
         {
             return lastFailure;
         }
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PlacementEngine.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PlacementEngine.java
@@ -392,7 +392,7 @@
         {
             return Optional.empty();
         }
-        PolicyAssignments.Named policy = policies.policyFor(demand.taskClass(), demand.task());
+        PolicyAssignments.NamedPolicy policy = policies.policyFor(demand.taskClass(), demand.task());
         Optional<String> chosenWorker = policy.policy().choose(index, demand.needs());
         if (chosenWorker.isEmpty())
         {
--- a/gaugehollow/src/main/java/org/gaugehollow/placement/PolicyAssignments.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/placement/PolicyAssignments.java
@@ -24,7 +24,7 @@
      * @param name the resource's name
      * @param policy the policy
      */
-    public record Named(String name, PlacementPolicy policy)
+    public record NamedPolicy(String name, PlacementPolicy policy)
     {
     }
 
@@ -36,21 +36,21 @@
      * @param second the second arm
      * @param secondPercent percentage of tasks that the second arm places
      */
-    public record Split(String comparison, Named first, Named second, int secondPercent)
+    public record Split(String comparison, NamedPolicy first, NamedPolicy second, int secondPercent)
     {
     }
 
-    private final Map<TaskClass, Named> policiesByClass;
+    private final Map<TaskClass, NamedPolicy> policiesByClass;
     private final Map<TaskClass, Split> splitsByClass;
-    private final Named fallback;
+    private final NamedPolicy fallback;
 
     /**
      * @param policiesByClass the policies of the classes that have one
      * @param splitsByClass the comparisons of the classes that have one
      * @param fallback the policy of all other classes
      */
-    public PolicyAssignments(Map<TaskClass, Named> policiesByClass, Map<TaskClass, Split> splitsByClass,
-            Named fallback)
+    public PolicyAssignments(Map<TaskClass, NamedPolicy> policiesByClass, Map<TaskClass, Split> splitsByClass,
+            NamedPolicy fallback)
     {
         this.policiesByClass = new EnumMap<>(TaskClass.class);
         this.policiesByClass.putAll(policiesByClass);
@@ -67,7 +67,7 @@
      * @param task the task's id
      * @return the policy and its name
      */
-    public Named policyFor(TaskClass taskClass, String task)
+    public NamedPolicy policyFor(TaskClass taskClass, String task)
     {
         Split split = splitsByClass.get(taskClass);
         if (split == null)
--- a/gaugehollow/src/main/java/org/gaugehollow/platform/HedgedCall.java
+++ b/gaugehollow/src/main/java/org/gaugehollow/platform/HedgedCall.java
@@ -10,8 +10,8 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.TimeoutException;
 
+import org.gaugehollow.model.AttemptOutcomes;
 import org.gaugehollow.model.GaugehollowException;
-import org.gaugehollow.model.TryOutcomes;
 
 /**
  * Repeats a call while earlier attempts are unanswered and returns the first answer. Suitable for
@@ -76,7 +76,7 @@
     {
         private final Call<T> call;
         private final boolean write;
-        private final TryOutcomes outcomes = new TryOutcomes();
+        private final AttemptOutcomes outcomes = new AttemptOutcomes();
         private final CompletableFuture<T> result = new CompletableFuture<>();
 
         Attempts(Call<T> call, boolean write)
--- a/gaugehollow/src/test/java/org/gaugehollow/config/ConfigCacheTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/config/ConfigCacheTest.java
@@ -55,20 +55,22 @@
                 store.apply(new ConfigDelta(revision, false, List.of(change)));
                 if (step % 3 == 0)
                 {
-                    assertMonotone(boxes[step % 2], () -> boxes[step % 2].applyOwn(change));
+                    assertMonotone(boxes[step % 2], () -> boxes[step % 2].applyLocal(change));
                 }
             }
             else
             {
                 ConfigCache target = boxes[step % 2];
                 ConfigCache source = step < 80 ? store : boxes[(step + 1) % 2];
-                ConfigDelta delta = step % 5 == 0 ? source.since(0) : source.since(target.revision());
+                ConfigDelta delta = step % 5 == 0
+                        ? source.deltaSince(0)
+                        : source.deltaSince(target.revision());
                 assertMonotone(target, () -> target.apply(delta));
             }
         }
         for (ConfigCache box : boxes)
         {
-            assertMonotone(box, () -> box.apply(store.since(box.revision())));
+            assertMonotone(box, () -> box.apply(store.deltaSince(box.revision())));
             assertThat(state(box)).isEqualTo(state(store));
         }
     }
@@ -88,14 +90,15 @@
         ConfigCache cache = new ConfigCache();
         cache.apply(new ConfigDelta(1, true, List.of(entry("teams/a", 1, false))));
         long revision = 1;
-        for (int i = 0; i < ConfigCache.HISTORY + 5; i++)
+        for (int i = 0; i < ConfigCache.MAX_HISTORY_SIZE + 5; i++)
         {
             revision++;
             cache.apply(new ConfigDelta(revision, false, List.of(entry("teams/a", revision, false))));
         }
-        assertThat(cache.awaitAfter(3, 0)).isEmpty();
-        List<ConfigEntry> lastChanges = new ArrayList<>(cache.awaitAfter(revision - 2, 0).orElseThrow());
+        assertThat(cache.awaitChangesAfter(3, 0)).isEmpty();
+        List<ConfigEntry> lastChanges = new ArrayList<>(
+                cache.awaitChangesAfter(revision - 2, 0).orElseThrow());
         assertThat(lastChanges).hasSize(2);
-        assertThat(cache.since(3).full()).isTrue();
+        assertThat(cache.deltaSince(3).full()).isTrue();
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/config/ResourceStoreTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/config/ResourceStoreTest.java
@@ -47,7 +47,7 @@
     {
         store.loseAnswers(1);
         ConfigEntry created = resources.put(NAME, Optional.empty(), spec(1));
-        assertThat(store.get(StoreKeys.CONFIG + NAME).orElseThrow().modRevision())
+        assertThat(store.get(StoreKeys.CONFIG_PREFIX + NAME).orElseThrow().modRevision())
                 .isEqualTo(created.revision());
         store.loseAnswers(2);
         ConfigEntry changed = resources.put(NAME, Optional.of(created.revision()), spec(2));
@@ -69,7 +69,7 @@
         ConfigEntry created = resources.put(NAME, Optional.empty(), spec(1));
         store.loseAnswers(1);
         store.afterNextCommit(() -> resources.put(NAME,
-                Optional.of(store.get(StoreKeys.CONFIG + NAME).orElseThrow().modRevision()), spec(3)));
+                Optional.of(store.get(StoreKeys.CONFIG_PREFIX + NAME).orElseThrow().modRevision()), spec(3)));
         ConfigEntry settled = resources.put(NAME, Optional.of(created.revision()), spec(2));
         assertThat(new String(settled.envelope(), StandardCharsets.UTF_8)).contains("\"value\":3");
     }
@@ -123,7 +123,7 @@
         assertThat(codeOfFailure(() -> failingResources.put(NAME, Optional.empty(), spec(1))))
                 .isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
         failingStore.setDown(false);
-        assertThat(failingStore.get(StoreKeys.CONFIG + NAME)).isPresent();
+        assertThat(failingStore.get(StoreKeys.CONFIG_PREFIX + NAME)).isPresent();
     }
 
     /** Guards against reporting an applied deletion as not made because the read afterwards failed. */
@@ -137,7 +137,7 @@
         assertThat(codeOfFailure(() -> failingResources.delete(NAME, created.revision())))
                 .isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
         failingStore.setDown(false);
-        assertThat(failingStore.get(StoreKeys.CONFIG + NAME)).isEmpty();
+        assertThat(failingStore.get(StoreKeys.CONFIG_PREFIX + NAME)).isEmpty();
     }
 
     /**
@@ -149,8 +149,8 @@
     {
         ConfigEntry created = resources.put(NAME, Optional.empty(), spec(1));
         store.loseAnswers(1);
-        store.afterNextCommit(
-                () -> resources.delete(NAME, store.get(StoreKeys.CONFIG + NAME).orElseThrow().modRevision()));
+        store.afterNextCommit(() -> resources.delete(NAME,
+                store.get(StoreKeys.CONFIG_PREFIX + NAME).orElseThrow().modRevision()));
         assertThat(codeOfFailure(() -> resources.put(NAME, Optional.of(created.revision()), spec(2))))
                 .isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
     }
--- a/gaugehollow/src/test/java/org/gaugehollow/entry/KeyedRunnerTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/entry/KeyedRunnerTest.java
@@ -48,7 +48,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 
-/** Guards against false evidence that a key did not run. */
+/** Guards against false reports that a key did not run. */
 class KeyedRunnerTest
 {
     private static final String HALL = "hall";
@@ -77,7 +77,7 @@
         BoxIdentity self = new BoxIdentity(SELF, SELF, HALL, "127.0.0.1:1");
         ConfigCache cache = new ConfigCache();
         AssignmentMaps assignmentMaps = new AssignmentMaps(HALL, cache, events);
-        cache.applyOwn(new ConfigEntry(StoreKeys.hallMap(HALL), 1, Json.write(map(self)), false));
+        cache.applyLocal(new ConfigEntry(StoreKeys.assignmentMap(HALL), 1, Json.write(map(self)), false));
         KeyTable keyTable = new KeyTable(LIMITS, System::currentTimeMillis);
         KeyReplicator replicator = new KeyReplicator(self, assignmentMaps, directory, keyTable);
         new KeyOwnership(SELF, keyTable, new ReplicaTable(SELF), replicator, System::currentTimeMillis,
--- a/gaugehollow/src/test/java/org/gaugehollow/entry/UpstreamManagerTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/entry/UpstreamManagerTest.java
@@ -87,7 +87,7 @@
         AssignmentMap map = new AssignmentMap(EPOCH,
                 Map.of(BOX, new AssignmentMap.Member(BOX, "127.0.0.1:1")),
                 Map.of(WORKER, new AssignmentMap.Assignment(BOX, EPOCH)), List.of());
-        cache.applyOwn(new ConfigEntry(StoreKeys.hallMap("bole"), 1, Json.write(map), false));
+        cache.applyLocal(new ConfigEntry(StoreKeys.assignmentMap("bole"), 1, Json.write(map), false));
         listWorker(1, SLOTS);
         manager = new UpstreamManager(BOX, assignmentMaps, roster, engine, rights, loops, supervisor, events);
         manager.reconcile();
@@ -105,7 +105,7 @@
 
     private static PolicyAssignments policies()
     {
-        return new PolicyAssignments(Map.of(), Map.of(), new PolicyAssignments.Named("waiting-first",
+        return new PolicyAssignments(Map.of(), Map.of(), new PolicyAssignments.NamedPolicy("waiting-first",
                 new PolicyRegistry().create(new PolicySpec("waiting-first", null, null))));
     }
 
--- a/gaugehollow/src/test/java/org/gaugehollow/model/TryOutcomesTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/model/AttemptOutcomesTest.java
@@ -16,7 +16,7 @@
 import net.jqwik.api.constraints.Size;
 
 /** Tests how failures of several attempts determine the outcome of the request. */
-class TryOutcomesTest
+class AttemptOutcomesTest
 {
     private static GaugehollowException failure(ResultCode code)
     {
@@ -26,7 +26,7 @@
     @Test
     void outcomeIsUnknownWhileAnAttemptIsInProgress()
     {
-        TryOutcomes attempts = new TryOutcomes();
+        AttemptOutcomes attempts = new AttemptOutcomes();
         attempts.begin();
         attempts.begin();
         assertThat(attempts.end(failure(ResultCode.STORE_UNAVAILABLE))).isEmpty();
@@ -38,18 +38,18 @@
     @Test
     void unknownOutcomeDecidesWhileOtherAttemptsAreInProgress()
     {
-        TryOutcomes attempts = new TryOutcomes();
+        AttemptOutcomes attempts = new AttemptOutcomes();
         attempts.begin();
         attempts.begin();
         assertThat(attempts.end(failure(ResultCode.PEER_LOST)).orElseThrow().code())
                 .isEqualTo(ResultCode.STORE_OUTCOME_UNKNOWN);
-        assertThat(attempts.mayRun()).isTrue();
+        assertThat(attempts.mayHaveRun()).isTrue();
     }
 
     @Test
     void noAttemptBeginsAfterAnotherHasFailed()
     {
-        TryOutcomes attempts = new TryOutcomes();
+        AttemptOutcomes attempts = new AttemptOutcomes();
         assertThat(attempts.begin()).isTrue();
         assertThat(attempts.begin()).isTrue();
         assertThat(attempts.end(failure(ResultCode.STORE_UNAVAILABLE))).isEmpty();
@@ -59,7 +59,7 @@
     @Test
     void failureIsIllegalBeforeAnAttemptEnds()
     {
-        TryOutcomes attempts = new TryOutcomes();
+        AttemptOutcomes attempts = new AttemptOutcomes();
         attempts.begin();
         assertThrows(IllegalStateException.class, attempts::failure);
     }
@@ -70,10 +70,10 @@
     @Property
     void requestIsNotRunOnlyIfNoAttemptMayHaveRun(@ForAll @Size(min = 1, max = 6) List<ResultCode> codes)
     {
-        TryOutcomes attempts = new TryOutcomes();
-        codes.forEach(code -> attempts.add(failure(code)));
+        AttemptOutcomes attempts = new AttemptOutcomes();
+        codes.forEach(code -> attempts.addFailure(failure(code)));
         boolean anyUnknown = codes.stream().anyMatch(code -> code.outcome() == Outcome.UNKNOWN);
-        assertThat(attempts.mayRun()).isEqualTo(anyUnknown);
+        assertThat(attempts.mayHaveRun()).isEqualTo(anyUnknown);
         assertThat(attempts.failure().code().outcome() == Outcome.UNKNOWN).isEqualTo(anyUnknown);
     }
 }
--- a/gaugehollow/src/test/java/org/gaugehollow/placement/PlacementEngineTest.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/placement/PlacementEngineTest.java
@@ -47,7 +47,7 @@
     private PolicyAssignments assignments(String type)
     {
         PlacementPolicy policy = registry.create(new PolicySpec(type, null, null));
-        return new PolicyAssignments(Map.of(), Map.of(), new PolicyAssignments.Named(type, policy));
+        return new PolicyAssignments(Map.of(), Map.of(), new PolicyAssignments.NamedPolicy(type, policy));
     }
 
     private TaskDemand demand(TaskClass taskClass, String team, int weight, int limit)
--- a/gaugehollow/src/test/java/org/gaugehollow/schedule/LateStore.java
+++ b/gaugehollow/src/test/java/org/gaugehollow/schedule/LateStore.java
@@ -71,7 +71,7 @@
         long lease = transaction.writes().getFirst().lease();
         if (lease != 0)
         {
-            OwnerTerm.inBackground("lapse", () -> expireUnlessRenewed(lease));
+            OwnerTerm.inBackground("expire", () -> expireUnlessRenewed(lease));
         }
         return revision;
     }
