--- a/build/add-license-headers.sh
+++ b/build/add-license-headers.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Puts the licence header on every Java file that lacks it.
+# Adds the licence header to every Java file that lacks it.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 for file in $(find . -path '*/src/*/java/*' -name '*.java' -not -path '*/target/*')
--- a/build/generate-protocol.sh
+++ b/build/generate-protocol.sh
@@ -1,5 +1,5 @@
 #!/usr/bin/env bash
-# Writes the Java classes of the peer protocol anew. The result is committed; the build does not run this.
+# Regenerates the Java classes of the peer protocol. The result is committed; the build does not run this script.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 version=4.31.1
--- a/build/measure.sh
+++ b/build/measure.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
-# Measures a cell of separate processes on loopback: what boxes cost at rest and under load, what overload does,
-# and what a killed box and a silent store cost. Usage: measure.sh rest|load|overload|faults BOXES WORKERS
+# Measures a cell of separate processes on loopback: the resource use of boxes at rest and under load, and the
+# effects of overload, a killed box and an unresponsive store. Usage: measure.sh rest|load|overload|faults BOXES WORKERS
 set -euo pipefail
 home="$(cd "$(dirname "$0")/.." && pwd)"
 what="$1"; boxes="$2"; workers="$3"
--- a/build/start-cell.sh
+++ b/build/start-cell.sh
@@ -1,6 +1,6 @@
 #!/usr/bin/env bash
 # Starts a cell of separate processes on loopback for measurements: start-cell.sh DIRECTORY BOXES WORKERS
-# Prints the process ids to DIRECTORY/pids; end them with: xargs kill < DIRECTORY/pids
+# Writes the process ids to DIRECTORY/pids; stop the processes with: xargs kill < DIRECTORY/pids
 set -euo pipefail
 home="$(cd "$(dirname "$0")/.." && pwd)"
 dir="$1"; boxes="$2"; workers="$3"; port=17700
